--- a/sedgetide/backends/dialects.py
+++ b/sedgetide/backends/dialects.py
@@ -44,7 +44,7 @@
     key: Key | None = None
 
 
-class Order(msgspec.Struct, frozen=True):
+class OrderRequest(msgspec.Struct, frozen=True):
     """An order as an HTTP request."""
 
     path: str
@@ -52,13 +52,13 @@
     headers: tuple[tuple[str, str], ...] = ()
 
 
-class Withdrawn(msgspec.Struct, frozen=True):
+class UpstreamWithdrawn(msgspec.Struct, frozen=True):
     """An entry of the registry has disappeared."""
 
     upstream: UpstreamName
 
 
-class EvacuationWish(msgspec.Struct, frozen=True):
+class EvacuationRequest(msgspec.Struct, frozen=True):
     """Operators want a data centre emptied, or want it no longer."""
 
     data_centre: DataCentre
@@ -109,11 +109,11 @@
         """
 
     @abc.abstractmethod
-    def find_request(self, headers: Headers) -> RequestId | None:
+    def read_request_id(self, headers: Headers) -> RequestId | None:
         """Return the id of the request that an answer belongs to."""
 
     @abc.abstractmethod
-    def judge(self, status: int, headers: Headers) -> Failure:
+    def classify_answer(self, status: int, headers: Headers) -> Failure:
         """Return what is wrong with a whole answer; NONE when nothing."""
 
     @abc.abstractmethod
@@ -146,13 +146,13 @@
         fence: Fence,
         hold: float,
         handover: str,
-    ) -> Order:
+    ) -> OrderRequest:
         """Return the order that gives keys to an upstream."""
 
     @abc.abstractmethod
     def make_release(
         self, upstream: UpstreamName, keys: KeyRange, fence: Fence
-    ) -> Order:
+    ) -> OrderRequest:
         """Return the order that takes keys back."""
 
     @abc.abstractmethod
@@ -164,11 +164,11 @@
         """Tell whether an answer says that a higher fence was seen."""
 
     @abc.abstractmethod
-    def is_foreign(self, status: int) -> bool:
+    def is_misdirected(self, status: int) -> bool:
         """Tell whether another upstream has the address now."""
 
 
-class Catalogue(abc.ABC):
+class RegistryDialect(abc.ABC):
     """The registry and the operators' routes, as they lie in the store."""
 
     @abc.abstractmethod
@@ -178,7 +178,13 @@
     @abc.abstractmethod
     def read(
         self, key: str, value: bytes | None
-    ) -> RegisteredUpstream | Withdrawn | EvacuationWish | Policy | None:
+    ) -> (
+        RegisteredUpstream
+        | UpstreamWithdrawn
+        | EvacuationRequest
+        | Policy
+        | None
+    ):
         """Return what an item says; None when nothing.
 
         Raises
--- a/sedgetide/backends/eras.py
+++ b/sedgetide/backends/eras.py
@@ -4,10 +4,10 @@
 
 from sedgetide.core.history import Era
 from sedgetide.runtime.events import Event
-from sedgetide.runtime.events import tell
+from sedgetide.runtime.events import log_event
 
 
-class EraWatch:
+class EraTracker:
     """Newest era that any answer to any call of this host has shown.
 
     All clients of one store share it: what one of them learns makes the
@@ -31,11 +31,11 @@
         self.newest = era
         if former is None:
             return
-        tell(Event.STORE_RESTORED, era=era, former=former)
+        log_event(Event.STORE_RESTORED, era=era, former=former)
         for listener in self._listeners:
             listener(era)
 
     def note_refused(self, problem: str) -> None:
         """Take in an answer whose era can not be read."""
         self.refused += 1
-        tell(Event.ERA_REFUSED, problem=problem)
+        log_event(Event.ERA_REFUSED, problem=problem)
--- a/sedgetide/backends/httpstore.py
+++ b/sedgetide/backends/httpstore.py
@@ -14,8 +14,8 @@
 
 from sedgetide.backends._connection import HttpAnswer
 from sedgetide.backends._connection import HttpConnection
-from sedgetide.backends.store import Changes
 from sedgetide.backends.store import Store
+from sedgetide.backends.store import WatchResult
 from sedgetide.coding.values import MAX_VALUE_BYTES
 from sedgetide.core.configuration.records import Record
 from sedgetide.core.errors import ErrorCode
@@ -97,14 +97,14 @@
             )
         return Revision(found["revision"])
 
-    def watch(self, prefix: str, since: Revision, wait: float) -> Changes:
+    def watch(self, prefix: str, since: Revision, wait: float) -> WatchResult:
         path = (
             f"/v1/watch?prefix={quote(prefix)}&since={since}"
             f"&wait_ms={int(wait * 1000)}"
         )
         answer = self._call(Step.WATCH, "GET", path, extra=wait)
         found = self._decode(answer, _WatchAnswer, Step.WATCH)
-        return Changes(
+        return WatchResult(
             Revision(found.revision),
             [_make_record(row) for row in found.changes],
         )
--- a/sedgetide/backends/httpupstream.py
+++ b/sedgetide/backends/httpupstream.py
@@ -12,19 +12,19 @@
 
 from sedgetide.backends._connection import HttpAnswer
 from sedgetide.backends._connection import HttpConnection
-from sedgetide.backends.upstream import Order
+from sedgetide.backends.upstream import OrderContext
 from sedgetide.backends.upstream import UpstreamClient
+from sedgetide.backends.upstream import UpstreamRequest
+from sedgetide.backends.upstream import UpstreamResult
 from sedgetide.backends.upstream import UpstreamStatus
-from sedgetide.backends.upstream import Work
-from sedgetide.backends.upstream import WorkResult
 from sedgetide.core.errors import ErrorCode
 from sedgetide.core.errors import Step
 from sedgetide.core.errors import UpstreamError
 from sedgetide.core.identifiers import Epoch
 from sedgetide.core.ownership.assignment import ShardKey
 
-OWN_PREFIX = "sedgetide-"
-HEADER_NUMBER = "sedgetide-request"
+RESERVED_HEADER_PREFIX = "sedgetide-"
+HEADER_REQUEST_ID = "sedgetide-request"
 HEADER_SHARD = "sedgetide-shard"
 HEADER_EPOCH = "sedgetide-epoch"
 HEADER_ORDERER = "sedgetide-orderer"
@@ -39,14 +39,14 @@
 _OK = 200
 
 
-def drop_own_headers(
+def drop_reserved_headers(
     headers: Iterable[tuple[str, str]],
 ) -> list[tuple[str, str]]:
     """Return an upstream's headers without those meant for its keeper."""
     return [
         (name, value)
         for name, value in headers
-        if not name.lower().startswith(OWN_PREFIX)
+        if not name.lower().startswith(RESERVED_HEADER_PREFIX)
     ]
 
 
@@ -81,7 +81,7 @@
 
     def grant(
         self,
-        order: Order,
+        order: OrderContext,
         shards: Mapping[ShardKey, Epoch],
         life: float,
         timeout: float,
@@ -98,7 +98,7 @@
 
     def release(
         self,
-        order: Order,
+        order: OrderContext,
         shards: Mapping[ShardKey, Epoch],
         timeout: float,
     ) -> UpstreamStatus:
@@ -127,11 +127,15 @@
         return not found["begun"]
 
     def run(
-        self, order: Order, work: Work, timeout: float, fresh: bool
-    ) -> WorkResult:
+        self,
+        order: OrderContext,
+        work: UpstreamRequest,
+        timeout: float,
+        fresh: bool,
+    ) -> UpstreamResult:
         headers = [
             *work.headers,
-            (HEADER_NUMBER, work.number),
+            (HEADER_REQUEST_ID, work.number),
             (HEADER_ORDERER, order.orderer),
             (HEADER_STAMP, order.stamp),
             (HEADER_LIFE, str(int(work.life * 1000.0))),
@@ -152,7 +156,7 @@
         except BaseException:
             connection.close()
             raise
-        if answer.find_header(HEADER_NUMBER) != work.number:
+        if answer.find_header(HEADER_REQUEST_ID) != work.number:
             # An answer of an earlier request would be a true-looking lie.
             connection.close()
             raise UpstreamError(
@@ -165,7 +169,7 @@
         if connection.usable:
             self._idle.append(connection)
         declined = answer.find_header(HEADER_DECLINED) or ""
-        return WorkResult(answer, declined)
+        return UpstreamResult(answer, declined)
 
     def close(self) -> None:
         while self._idle:
--- a/sedgetide/backends/store.py
+++ b/sedgetide/backends/store.py
@@ -8,7 +8,7 @@
 from sedgetide.core.identifiers import Revision
 
 
-class Changes(msgspec.Struct, frozen=True):
+class WatchResult(msgspec.Struct, frozen=True):
     """Answer to a watch.
 
     Parameters
@@ -64,7 +64,7 @@
         """
 
     @abc.abstractmethod
-    def watch(self, prefix: str, since: Revision, wait: float) -> Changes:
+    def watch(self, prefix: str, since: Revision, wait: float) -> WatchResult:
         """Wait for changes of keys with a prefix.
 
         Parameters
--- a/sedgetide/backends/upstream.py
+++ b/sedgetide/backends/upstream.py
@@ -11,7 +11,7 @@
 from sedgetide.core.ownership.assignment import ShardKey
 
 
-class Order(msgspec.Struct, frozen=True):
+class OrderContext(msgspec.Struct, frozen=True):
     """Who gives an order, and by which of the upstream's own stamps.
 
     Parameters
@@ -58,7 +58,7 @@
     load: float = 0.0
 
 
-class Work(msgspec.Struct, frozen=True):
+class UpstreamRequest(msgspec.Struct, frozen=True):
     """A request as it goes to an upstream.
 
     Parameters
@@ -83,7 +83,7 @@
     life: float
 
 
-class WorkResult(msgspec.Struct, frozen=True):
+class UpstreamResult(msgspec.Struct, frozen=True):
     """Answer of an upstream to a request.
 
     Parameters
@@ -108,7 +108,7 @@
     @abc.abstractmethod
     def grant(
         self,
-        order: Order,
+        order: OrderContext,
         shards: Mapping[ShardKey, Epoch],
         life: float,
         timeout: float,
@@ -118,7 +118,7 @@
     @abc.abstractmethod
     def release(
         self,
-        order: Order,
+        order: OrderContext,
         shards: Mapping[ShardKey, Epoch],
         timeout: float,
     ) -> UpstreamStatus:
@@ -130,8 +130,12 @@
 
     @abc.abstractmethod
     def run(
-        self, order: Order, work: Work, timeout: float, fresh: bool
-    ) -> WorkResult:
+        self,
+        order: OrderContext,
+        work: UpstreamRequest,
+        timeout: float,
+        fresh: bool,
+    ) -> UpstreamResult:
         """Send a request once and return its whole answer.
 
         Parameters
--- a/sedgetide/coding/messages.py
+++ b/sedgetide/coding/messages.py
@@ -19,8 +19,8 @@
 from sedgetide.core.identifiers import Revision
 from sedgetide.core.identifiers import ServiceName
 from sedgetide.core.identifiers import UpstreamName
+from sedgetide.core.membership.lenders import HostStatus
 from sedgetide.core.membership.lenders import LenderList
-from sedgetide.core.membership.lenders import Standing
 from sedgetide.core.ownership.assignment import Member
 from sedgetide.core.ownership.assignment import ShardKey
 from sedgetide.core.ownership.load import KeyWork
@@ -61,7 +61,7 @@
         Age of the store's word it passes on.
     store_revision : Revision
         Revision that word named.
-    store_away : bool
+    store_unavailable : bool
         Whether its last own call to the store failed.
     leaving : bool
         Whether it is about to stop.
@@ -78,7 +78,7 @@
     counting: bool = False
     store_age: float | None = None
     store_revision: Revision = Revision(0)
-    store_away: bool = False
+    store_unavailable: bool = False
     leaving: bool = False
     member: Member | None = None
 
@@ -96,7 +96,7 @@
     """
 
     asked_at: float
-    unheard: float
+    silent_seconds: float
     status: Status
 
 
@@ -213,7 +213,7 @@
         What was seen of upstreams since then.
     position : Position
         Up to which the host knows what the store holds.
-    standing : Standing
+    standing : HostStatus
         What the host says of itself.
     leaving : list of IncarnationName
         Upstreams that have told the host that they are about to end; the
@@ -225,7 +225,7 @@
     keys: list[KeyWork]
     upstreams: list[UpstreamWork]
     position: Position = NO_POSITION
-    standing: Standing = Standing()
+    standing: HostStatus = HostStatus()
     leaving: list[IncarnationName] = []
     limits: dict[IncarnationName, float] = {}
 
@@ -273,7 +273,7 @@
     since: Position
     as_of: Position
     age: float
-    disturbed: float
+    distrust_seconds: float
     items: list[Item]
     hosts: int = 0
     patches: list[Patch] = []
--- a/sedgetide/coding/settings.py
+++ b/sedgetide/coding/settings.py
@@ -9,11 +9,11 @@
 from sedgetide.coding.addresses import check_address
 from sedgetide.coding.checking import find_problems
 from sedgetide.coding.checking import Problem
-from sedgetide.core.constraints import Allowance
-from sedgetide.core.constraints import Amount
-from sedgetide.core.constraints import Count
 from sedgetide.core.constraints import HoldMilliseconds
 from sedgetide.core.constraints import Name
+from sedgetide.core.constraints import NonNegativeFloat
+from sedgetide.core.constraints import PositiveFloat
+from sedgetide.core.constraints import PositiveInt
 from sedgetide.core.constraints import Seconds
 from sedgetide.core.errors import ErrorCode
 from sedgetide.core.errors import InputError
@@ -51,11 +51,11 @@
         Seconds between unreadiness and the end of listening.
     """
 
-    body_bytes: Count = 16 * 1024 * 1024
-    header_bytes: Count = 32 * 1024
-    requests: Count = 2000
-    queue: Count = 1000
-    operations: Count = 50_000
+    body_bytes: PositiveInt = 16 * 1024 * 1024
+    header_bytes: PositiveInt = 32 * 1024
+    requests: PositiveInt = 2000
+    queue: PositiveInt = 1000
+    operations: PositiveInt = 50_000
     operation_window: Seconds = 600.0
     clock_skew: Seconds = 1.0
     drain: Seconds = 15.0
@@ -187,16 +187,16 @@
     admin: str
     link: str
     stores: tuple[str, ...]
-    grace: Allowance = 16.0
+    grace: NonNegativeFloat = 16.0
     max_hold_ms: HoldMilliseconds = 10_000.0
-    retry_ratio: Allowance = 0.2
-    retry_slack: Allowance = 50.0
-    evacuate_ms: Allowance = 5000.0
-    cold_overrun: Allowance = 1.0
-    cold_slack: Allowance = 0.0
-    processor_share: Amount = 1.0
-    processors: Amount = 1.0
-    memory_mb: Amount = 1024.0
+    retry_ratio: NonNegativeFloat = 0.2
+    retry_slack: NonNegativeFloat = 50.0
+    evacuate_ms: NonNegativeFloat = 5000.0
+    cold_overrun: NonNegativeFloat = 1.0
+    cold_slack: NonNegativeFloat = 0.0
+    processor_share: PositiveFloat = 1.0
+    processors: PositiveFloat = 1.0
+    memory_mb: PositiveFloat = 1024.0
     limits: Limits = Limits()
     durations: Durations = Durations()
     log_level: str = "INFO"
@@ -207,13 +207,13 @@
         return HostName(self.host)
 
     @property
-    def processor_time(self) -> float:
+    def available_cores(self) -> float:
         """Cores' worth of time that the host has."""
         return self.processor_share * self.processors
 
     def fit_durations(self) -> Durations:
         """Return the durations within what upstreams accept."""
-        return self.durations.fit(self.max_hold_ms / 1000.0)
+        return self.durations.cap_holds(self.max_hold_ms / 1000.0)
 
 
 def _check_addresses(settings: ProcessSettings) -> Iterator[Problem]:
--- a/sedgetide/command/configuration.py
+++ b/sedgetide/command/configuration.py
@@ -14,8 +14,8 @@
 from sedgetide.coding.values import decode_text
 from sedgetide.coding.values import encode_text
 from sedgetide.coding.values import StoredText
+from sedgetide.core.configuration.records import build_assignment_key
 from sedgetide.core.configuration.records import CONFIGURATION_KEY
-from sedgetide.core.configuration.records import name_assignment
 from sedgetide.core.configuration.services import Text
 from sedgetide.core.configuration.services import UpstreamState
 from sedgetide.core.errors import ErrorCode
@@ -79,7 +79,7 @@
 
 def read_assignment(store: Store, data_centre: DataCentre) -> Assignment:
     """Return a data centre's assignment, empty when it has none."""
-    record = store.read(name_assignment(data_centre))
+    record = store.read(build_assignment_key(data_centre))
     if record is None:
         return EMPTY_ASSIGNMENT
     return decode_assignment(record.value)
--- a/sedgetide/core/configuration/records.py
+++ b/sedgetide/core/configuration/records.py
@@ -12,7 +12,7 @@
 ASSIGNMENT_PREFIX = "assignment/"
 
 
-def name_assignment(data_centre: str) -> str:
+def build_assignment_key(data_centre: str) -> str:
     """Return the store's key of a data centre's assignment."""
     return ASSIGNMENT_PREFIX + data_centre
 
--- a/sedgetide/core/configuration/services.py
+++ b/sedgetide/core/configuration/services.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
-from sedgetide.core.constraints import Count
 from sedgetide.core.constraints import Name
+from sedgetide.core.constraints import PositiveInt
 from sedgetide.core.constraints import Seconds
 
 MAX_SHARDS = 16_384
@@ -114,8 +114,8 @@
 
     name: Name
     prefix: Path
-    slots: Count
-    connections: Count
+    slots: PositiveInt
+    connections: PositiveInt
     routes: tuple[Route, ...]
     upstreams: tuple[Upstream, ...]
     keyed: bool = False
--- a/sedgetide/core/identifiers.py
+++ b/sedgetide/core/identifiers.py
@@ -6,7 +6,7 @@
 UpstreamName = NewType("UpstreamName", str)
 # One start of an upstream's process; see core/membership/incarnations.py.
 IncarnationName = NewType("IncarnationName", str)
-BirthMark = NewType("BirthMark", int)
+StartTime = NewType("StartTime", int)
 DataCentre = NewType("DataCentre", str)
 HostName = NewType("HostName", str)
 LinkAddress = NewType("LinkAddress", str)
--- a/sedgetide/core/membership/datacentre.py
+++ b/sedgetide/core/membership/datacentre.py
@@ -35,9 +35,9 @@
 from sedgetide.core.ownership.handover import ReleaseTracker
 from sedgetide.core.ownership.keyspace import list_shards
 from sedgetide.core.ownership.leasing import Authorization
-from sedgetide.core.ownership.leasing import Report
+from sedgetide.core.ownership.leasing import UpstreamReport
 from sedgetide.core.ownership.planning import plan_change
-from sedgetide.core.ownership.planning import Situation
+from sedgetide.core.ownership.planning import PlanningInput
 from sedgetide.core.timing import Timing
 
 WATCHERS = 2
@@ -59,7 +59,7 @@
         Age of the store's word it passes on.
     store_revision : Revision
         Revision that word named.
-    store_away : bool
+    store_unavailable : bool
         Whether its last own call to the store failed.
     """
 
@@ -67,10 +67,10 @@
     counting: bool
     store_age: float | None = None
     store_revision: Revision = NO_REVISION
-    store_away: bool = False
+    store_unavailable: bool = False
 
 
-class Plan(msgspec.Struct, frozen=True):
+class AssignmentChange(msgspec.Struct, frozen=True):
     """A change to be written by compare-and-swap.
 
     Parameters
@@ -133,7 +133,7 @@
         self.assignment = EMPTY_ASSIGNMENT
         self.revision = NO_REVISION
         self.leaving = False
-        self.store_away = False
+        self.store_unavailable = False
         self._away: set[HostName] = set()
         self.authority = Authority(host, timing.proof_life)
         self.tracker = ReleaseTracker(host)
@@ -142,11 +142,11 @@
         self._liveness = liveness
         self._started_at = now
         self._joiners: dict[HostName, tuple[float, Member]] = {}
-        self._reports: dict[UpstreamName, tuple[float, Report]] = {}
+        self._reports: dict[UpstreamName, tuple[float, UpstreamReport]] = {}
 
     # What is learnt
 
-    def take_text(self, text: Text) -> None:
+    def apply_configuration(self, text: Text) -> None:
         """Put a text in force."""
         self.text = text
         self._follow_releases()
@@ -179,7 +179,7 @@
         self.authority.note_member(
             host, asked_at, said.revision, said.counting
         )
-        if said.store_away:
+        if said.store_unavailable:
             self._away.add(host)
         else:
             self._away.discard(host)
@@ -197,7 +197,7 @@
         """Take in that a keeper of this data centre has asked."""
         self._joiners[host] = (now, member)
 
-    def note_report(self, report: Report, now: float) -> None:
+    def note_report(self, report: UpstreamReport, now: float) -> None:
         """Take in what a keeper says of its upstream."""
         self._reports[report.upstream] = (now, report)
 
@@ -208,7 +208,7 @@
             self.authority.counting,
             self.authority.store_age(now),
             self.authority.store_revision(),
-            self.store_away,
+            self.store_unavailable,
         )
 
     # What may be done
@@ -250,7 +250,7 @@
         When it is away from all, any may be the first to reach it again.
         """
         alive = self.list_alive(now)
-        away = self._away | ({self.host} if self.store_away else set())
+        away = self._away | ({self.host} if self.store_unavailable else set())
         return [host for host in alive if host not in away] or alive
 
     def list_links(self) -> set[LinkAddress]:
@@ -259,7 +259,7 @@
 
     def is_watching(self, now: float) -> bool:
         """Tell whether this keeper watches the store for the others."""
-        if self.host not in self.assignment.members or self.store_away:
+        if self.host not in self.assignment.members or self.store_unavailable:
             return True
         ranked = rank_candidates("watch", self._list_connected(now))
         return self.host in ranked[:WATCHERS]
@@ -300,7 +300,7 @@
             return False
         return choose_candidate(upstream, [host, self.host]) == host
 
-    def plan(self, now: float, change_id: ChangeId) -> Plan | None:
+    def plan(self, now: float, change_id: ChangeId) -> AssignmentChange | None:
         """Return the change this keeper is to write now, if any."""
         if not self.is_warm(now) or self.leaving:
             return None
@@ -309,19 +309,23 @@
         if not self.revision and not self._may_found(now):
             return None
         changed = plan_change(self.assignment, self._describe(now), change_id)
-        return None if changed is None else Plan(changed, self.revision)
+        return (
+            None
+            if changed is None
+            else AssignmentChange(changed, self.revision)
+        )
 
     def _may_found(self, now: float) -> bool:
         """Tell whether the data centre certainly has no record yet."""
         age = self.authority.store_age(now)
         return age is not None and not self.authority.store_revision()
 
-    def _list_reports(self, now: float) -> Iterable[Report]:
+    def _list_reports(self, now: float) -> Iterable[UpstreamReport]:
         for at, report in self._reports.values():
             if now - at < _REPORT_LIFE:
                 yield report
 
-    def _describe(self, now: float) -> Situation:
+    def _describe(self, now: float) -> PlanningInput:
         text = self.text or Text(self.data_centre, (), (), ())
         lost: dict[ShardKey, Epoch] = {}
         for report in self._list_reports(now):
@@ -329,7 +333,7 @@
             self._confirm(report)
         takers, active = self._list_takers(text, now)
         owners = {each.upstream for each in self.assignment.shards.values()}
-        return Situation(
+        return PlanningInput(
             wanted=self._list_wanted(text),
             takers=takers,
             evicted=owners - active,
@@ -340,12 +344,12 @@
             pins=_list_pins(text, takers),
             joiners=self._list_joiners(now),
             absent=self._list_absent(now),
-            list_known=self.authority.is_known(
+            member_list_known=self.authority.is_known(
                 self.revision, self.assignment.members
             ),
         )
 
-    def _confirm(self, report: Report) -> None:
+    def _confirm(self, report: UpstreamReport) -> None:
         for key, epoch in report.released.items():
             owner = self.assignment.find_owner(key)
             if owner is not None and owner.upstream == report.upstream:
--- a/sedgetide/core/membership/directory.py
+++ b/sedgetide/core/membership/directory.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from sedgetide.core.identifiers import BirthMark
 from sedgetide.core.identifiers import DataCentre
 from sedgetide.core.identifiers import IncarnationName
 from sedgetide.core.identifiers import ServiceName
+from sedgetide.core.identifiers import StartTime
 from sedgetide.core.identifiers import UpstreamName
 from sedgetide.core.membership.evacuations import Evacuations
 from sedgetide.core.membership.incarnations import name_incarnation
@@ -46,7 +46,7 @@
         Whether it has announced its end.
     warmup : float
         Seconds for which it is still slow.
-    born : BirthMark
+    born : StartTime
         Which start of the upstream this is.
     """
 
@@ -57,7 +57,7 @@
     slots: int = 1
     leaving: bool = False
     warmup: float = 0.0
-    born: BirthMark = UNKNOWN_BIRTH
+    born: StartTime = UNKNOWN_BIRTH
 
     @property
     def name(self) -> IncarnationName:
@@ -65,7 +65,7 @@
         return name_incarnation(self.registered_name, self.born)
 
 
-class Directory:
+class UpstreamDirectory:
     """Upstreams as the registry shows them, and when to believe it.
 
     An entry that disappears while the registry is disturbed need not mean
@@ -95,7 +95,7 @@
         self._cold_until: dict[IncarnationName, float] = {}
         self._entries: dict[IncarnationName, RegisteredUpstream] = {}
         self._current: dict[UpstreamName, IncarnationName] = {}
-        self._born: dict[UpstreamName, BirthMark] = {}
+        self._born: dict[UpstreamName, StartTime] = {}
         self._first_seen: dict[IncarnationName, float] = {}
         self._missing: set[IncarnationName] = set()
         self._unreadable: set[IncarnationName] = set()
@@ -105,7 +105,7 @@
         self._disturbed_until = float("-inf")
         self.changed_at = float("-inf")
 
-    def note_disturbance(
+    def note_registry_outage(
         self, now: float, seconds: float | None = None
     ) -> None:
         """Take in that the registry gave no usable answer just now.
@@ -126,17 +126,17 @@
         of young upstreams are missing until these have written them again,
         and who had said that it leaves is shown as ready.
         """
-        self.note_disturbance(now)
+        self.note_registry_outage(now)
         for name, entry in self._entries.items():
             if entry.leaving:
                 self._announced[name] = None
 
-    def find_disturbance(self, now: float) -> float:
+    def find_outage_grace(self, now: float) -> float:
         """Return for how long missing entries are not believed yet."""
         return max(0.0, self._disturbed_until - now)
 
     def put(
-        self, entry: RegisteredUpstream, now: float, copied: bool = False
+        self, entry: RegisteredUpstream, now: float, from_backup: bool = False
     ) -> None:
         """Take in an entry, unless a later start of its upstream is known.
 
@@ -149,7 +149,7 @@
         """
         known = self._born.get(entry.registered_name, UNKNOWN_BIRTH)
         if entry.born == UNKNOWN_BIRTH != known:
-            self.discredit(entry.registered_name, now)
+            self.mark_unreadable(entry.registered_name, now)
             return
         if entry.born < known:
             return
@@ -157,7 +157,7 @@
         former = self._current.get(entry.registered_name)
         if former is not None and former != name:
             self._drop(former, now)
-        self._note_revived(name, copied, now)
+        self._note_revived(name, from_backup, now)
         self._note_seen(entry, now)
         if entry.warmup > 0:
             self._cold_until[name] = now + entry.warmup
@@ -172,12 +172,12 @@
         self.changed_at = now
 
     def _note_revived(
-        self, name: IncarnationName, copied: bool, now: float
+        self, name: IncarnationName, from_backup: bool, now: float
     ) -> None:
         gone = name in self._first_seen and name not in self._entries
-        if copied and gone:
+        if from_backup and gone:
             self._revived[name] = now + _REVIVED_LIFE
-        elif not copied:
+        elif not from_backup:
             self._revived.pop(name, None)
 
     def _note_seen(self, entry: RegisteredUpstream, now: float) -> None:
@@ -186,7 +186,7 @@
         _forget_oldest(self._born, self._current)
         _forget_oldest(self._first_seen, self._entries)
 
-    def discredit(self, upstream: UpstreamName, now: float) -> None:
+    def mark_unreadable(self, upstream: UpstreamName, now: float) -> None:
         """Take in that an upstream's entry says nothing that can be used.
 
         Whoever wrote it, it names no upstream to send work to. What was
@@ -319,7 +319,7 @@
             are. What comes back from an evacuation may be: its entry says
             so up to two seconds later.
         """
-        returned_at = self.evacuations.find_returned_at(entry.data_centre)
+        returned_at = self.evacuations.find_cancelled_at(entry.data_centre)
         if now < returned_at + warming:
             return True
         return now < self._cold_until.get(entry.name, float("-inf"))
@@ -330,7 +330,7 @@
         return entry.name not in self._unreadable
 
     def _is_active(self, entry: RegisteredUpstream) -> bool:
-        evacuated = self.evacuations.is_asked(entry.data_centre)
+        evacuated = self.evacuations.is_evacuating(entry.data_centre)
         return self._is_usable(entry) and not evacuated
 
     def find_active(self, name: IncarnationName) -> RegisteredUpstream | None:
@@ -353,9 +353,9 @@
         entry = self._entries.get(name)
         if entry is None or not self._is_usable(entry):
             return False
-        return self.evacuations.is_asked(entry.data_centre)
+        return self.evacuations.is_evacuating(entry.data_centre)
 
-    def has_successor(self, name: IncarnationName, address: str) -> bool:
+    def is_address_reused(self, name: IncarnationName, address: str) -> bool:
         """Tell whether another upstream has taken over an address.
 
         An address is given away only after the process that had it has
--- a/sedgetide/core/membership/evacuations.py
+++ b/sedgetide/core/membership/evacuations.py
@@ -34,7 +34,7 @@
         self._asked: dict[DataCentre, float] = {}
         self._returned: dict[DataCentre, float] = {}
 
-    def ask(
+    def start(
         self, data_centre: DataCentre, heard_at: float, now: float
     ) -> bool:
         """Take in that a data centre is to be empty.
@@ -60,7 +60,7 @@
         self._asked[data_centre] = now if prompt else heard_at
         return True
 
-    def take_back(self, data_centre: DataCentre, now: float) -> float | None:
+    def cancel(self, data_centre: DataCentre, now: float) -> float | None:
         """Take in that a data centre may get work again.
 
         Returns
@@ -75,7 +75,7 @@
         self._returned[data_centre] = now
         return now - asked_at
 
-    def is_asked(self, data_centre: DataCentre) -> bool:
+    def is_evacuating(self, data_centre: DataCentre) -> bool:
         """Tell whether a data centre gets no new work."""
         return data_centre in self._asked
 
@@ -84,11 +84,11 @@
         asked_at = self._asked.get(data_centre)
         return asked_at is None or now < asked_at + self._serving
 
-    def find_returned_at(self, data_centre: DataCentre) -> float:
+    def find_cancelled_at(self, data_centre: DataCentre) -> float:
         """Return when a data centre was taken back last."""
         return self._returned.get(data_centre, _NEVER)
 
-    def list_asked(self) -> Collection[DataCentre]:
+    def list_evacuating(self) -> Collection[DataCentre]:
         """Return the data centres that are to be empty."""
         return sorted(self._asked)
 
--- a/sedgetide/core/membership/incarnations.py
+++ b/sedgetide/core/membership/incarnations.py
@@ -6,17 +6,17 @@
 is remembered of an upstream is remembered by incarnation.
 """
 
-from sedgetide.core.identifiers import BirthMark
 from sedgetide.core.identifiers import IncarnationName
+from sedgetide.core.identifiers import StartTime
 from sedgetide.core.identifiers import UpstreamName
 
 # The registry does not tell starts apart: each has a name of its own.
-UNKNOWN_BIRTH = BirthMark(0)
+UNKNOWN_BIRTH = StartTime(0)
 _SEPARATOR = "@"
 
 
 def name_incarnation(
-    upstream: UpstreamName, born: BirthMark
+    upstream: UpstreamName, born: StartTime
 ) -> IncarnationName:
     """Return the name of one start of an upstream.
 
@@ -24,7 +24,7 @@
     ----------
     upstream : UpstreamName
         Name in the registry.
-    born : BirthMark
+    born : StartTime
         When it started, by its own time of day. Only compared with other
         starts of the same upstream, never with a clock: the time of day
         jumps on some hosts.
--- a/sedgetide/core/membership/lenders.py
+++ b/sedgetide/core/membership/lenders.py
@@ -25,7 +25,7 @@
 _SILENCE = 1.3
 
 
-class Standing(msgspec.Struct, frozen=True, array_like=True):
+class HostStatus(msgspec.Struct, frozen=True, array_like=True):
     """What a host says of itself with each report to the leader.
 
     Parameters
@@ -68,13 +68,13 @@
     ----------
     hosts : tuple of LendingHost
         Who lends.
-    bounded_only : bool
+    rate_limited_only : bool
         Whether places are lent only where so many requests a second are
         borne, and hosts go by their own windows elsewhere.
     """
 
     hosts: tuple[LendingHost, ...] = ()
-    bounded_only: bool = False
+    rate_limited_only: bool = False
 
     @property
     def version(self) -> int:
@@ -100,11 +100,11 @@
 
 
 class _Seen(msgspec.Struct):
-    standing: Standing
+    standing: HostStatus
     heard_at: float
 
 
-class Roster:
+class LenderSelector:
     """Hosts that report to the leader, and those of them that lend.
 
     Parameters
@@ -129,7 +129,9 @@
         self._own = own
         self.lenders = lenders
 
-    def note(self, link: LinkAddress, standing: Standing, now: float) -> None:
+    def note(
+        self, link: LinkAddress, standing: HostStatus, now: float
+    ) -> None:
         """Take in what a host says of itself."""
         self._seen[link] = _Seen(standing, now)
 
@@ -181,8 +183,8 @@
         if not hosts and others and self._own is not None:
             hosts.append(self._own)
         hosts.sort(key=_order)
-        bounded_only = bool(hosts) and not crowded
-        self.lenders = LenderList(tuple(hosts), bounded_only)
+        rate_limited_only = bool(hosts) and not crowded
+        self.lenders = LenderList(tuple(hosts), rate_limited_only)
         return self.lenders
 
     def _are_crowded(self, upstreams: Collection[RegisteredUpstream]) -> bool:
@@ -195,13 +197,13 @@
             return False
         slots = sum(each.slots for each in upstreams) / len(upstreams)
         bound = _HOSTS_EACH_SLOT * slots
-        if self.lenders.hosts and not self.lenders.bounded_only:
+        if self.lenders.hosts and not self.lenders.rate_limited_only:
             bound *= _CROWDED_STILL
         # The leader itself sends no report.
         return len(self._seen) + 1 > bound
 
     def _rank(
-        self, data_centre: DataCentre, able: Mapping[LinkAddress, Standing]
+        self, data_centre: DataCentre, able: Mapping[LinkAddress, HostStatus]
     ) -> list[LinkAddress]:
         present = {each.link for each in self.lenders.hosts}
         return sorted(
--- a/sedgetide/core/membership/partitions.py
+++ b/sedgetide/core/membership/partitions.py
@@ -70,7 +70,7 @@
             and self._served < _SERVED_ENOUGH
         )
 
-    def should_leave(self, heard_at: float, now: float) -> bool:
+    def should_withdraw(self, heard_at: float, now: float) -> bool:
         """Tell whether callers should be sent to other data centres.
 
         Parameters
--- a/sedgetide/core/ownership/balance.py
+++ b/sedgetide/core/ownership/balance.py
@@ -9,9 +9,9 @@
 
 from sedgetide.core.identifiers import IncarnationName
 from sedgetide.core.identifiers import Key
-from sedgetide.core.ownership._loads import Loads
-from sedgetide.core.ownership._loads import Taker
 from sedgetide.core.ownership.isolation import plan_isolation
+from sedgetide.core.ownership.projected_load import EligibleUpstream
+from sedgetide.core.ownership.projected_load import ProjectedLoad
 from sedgetide.core.ownership.ranges import KeyRange
 from sedgetide.core.ownership.ranges import Move
 from sedgetide.core.ownership.ranges import RangeTable
@@ -36,7 +36,7 @@
 _NEGLIGIBLE = 0.05
 
 
-def bound_moves(takers: int, empty: int = 0) -> int:
+def max_concurrent_moves(eligible: int, empty: int = 0) -> int:
     """Return how many ranges may be on their way at a time.
 
     Each upstream gives or gets one in a round or two, however many there
@@ -52,19 +52,21 @@
     empty : int
         Number of those that own none and get none.
     """
-    usual = max(_LEAST_BOUND, math.ceil(_MOVES_EACH * takers))
+    usual = max(_LEAST_BOUND, math.ceil(_MOVES_EACH * eligible))
     return max(usual, _MOVES_TO_FILL * empty)
 
 
-def count_empty(table: RangeTable, takers: Collection[IncarnationName]) -> int:
+def count_empty(
+    table: RangeTable, eligible: Collection[IncarnationName]
+) -> int:
     """Return how many takers neither own a range nor are to get one."""
     holders = {each.successor or each.owner for each in table.tenures}
-    return sum(1 for name in takers if name not in holders)
+    return sum(1 for name in eligible if name not in holders)
 
 
 def plan_evictions(
     table: RangeTable,
-    takers: Mapping[IncarnationName, Taker],
+    eligible: Mapping[IncarnationName, EligibleUpstream],
     rates: Mapping[Key, float],
     evacuated: Collection[IncarnationName] = (),
 ) -> list[Move]:
@@ -81,12 +83,12 @@
     evacuated : collection of IncarnationName
         Owners whose ranges leave at a pace of their own.
     """
-    if not takers:
+    if not eligible:
         return []
-    loads = Loads(table.tenures, takers, rates)
+    loads = ProjectedLoad(table.tenures, eligible, rates)
     moves = []
     for tenure in table.tenures:
-        stays = tenure.owner in takers or tenure.owner in evacuated
+        stays = tenure.owner in eligible or tenure.owner in evacuated
         if tenure.moving or stays:
             continue
         goal = loads.find_idlest()
@@ -102,7 +104,7 @@
 
 def plan_balance(
     table: RangeTable,
-    takers: Mapping[IncarnationName, Taker],
+    eligible: Mapping[IncarnationName, EligibleUpstream],
     rates: Mapping[Key, float],
     most: int = _LEAST_BOUND,
 ) -> list[Move]:
@@ -112,13 +114,13 @@
     upstream's that holds about half of the difference. Narrow ranges are
     cheap to move: what counts is the share of all keys.
     """
-    if len(takers) < 2:
+    if len(eligible) < 2:
         return []
-    if len(table.tenures) > _RANGES_EACH * len(takers):
+    if len(table.tenures) > _RANGES_EACH * len(eligible):
         return []
-    loads = Loads(table.tenures, takers, rates)
+    loads = ProjectedLoad(table.tenures, eligible, rates)
     moves = plan_isolation(loads, most)
-    sources = set(takers).difference(loads.crowded)
+    sources = set(eligible).difference(loads.crowded)
     while sources and len(moves) < most:
         source = max(sources, key=lambda name: (loads.find_busy(name), name))
         goal = loads.find_idlest()
@@ -133,7 +135,7 @@
 
 
 def _is_worth_a_move(
-    loads: Loads, source: IncarnationName, goal: IncarnationName
+    loads: ProjectedLoad, source: IncarnationName, goal: IncarnationName
 ) -> bool:
     if loads.counts[goal] == 0:
         return True
@@ -143,7 +145,7 @@
 
 
 def _plan_one(
-    loads: Loads, source: IncarnationName, goal: IncarnationName
+    loads: ProjectedLoad, source: IncarnationName, goal: IncarnationName
 ) -> Move | None:
     gap = loads.find_busy(source) - loads.find_busy(goal)
     found = _cut_range(loads, source, _find_wanted(loads, source, goal, gap))
@@ -156,7 +158,10 @@
 
 
 def _find_wanted(
-    loads: Loads, source: IncarnationName, goal: IncarnationName, gap: float
+    loads: ProjectedLoad,
+    source: IncarnationName,
+    goal: IncarnationName,
+    gap: float,
 ) -> float:
     """Return the work that makes both upstreams equally busy.
 
@@ -166,7 +171,7 @@
     upstreams was spread in five rounds of 0.8 s by halves; so it takes two.
     """
     costs = {
-        name: loads.takers[name].slowness / loads.takers[name].slots
+        name: loads.eligible[name].slowness / loads.eligible[name].slots
         for name in (source, goal)
     }
     equal = gap / sum(costs.values())
@@ -175,7 +180,7 @@
 
 
 def _cut_range(
-    loads: Loads, source: IncarnationName, wanted: float
+    loads: ProjectedLoad, source: IncarnationName, wanted: float
 ) -> tuple[KeyRange, float] | None:
     best: tuple[KeyRange, float] | None = None
     for keys, work in _list_windows(loads, source, wanted):
@@ -187,7 +192,7 @@
 
 
 def _list_windows(
-    loads: Loads, source: IncarnationName, wanted: float
+    loads: ProjectedLoad, source: IncarnationName, wanted: float
 ) -> Iterator[tuple[KeyRange, float]]:
     """Yield runs of busy keys that hold no more work than is wanted."""
     rates = loads.rates
@@ -217,9 +222,9 @@
             yield KeyRange(low, high), work
 
 
-def plan_tidying(
+def plan_consolidation(
     table: RangeTable,
-    takers: Mapping[IncarnationName, Taker],
+    eligible: Mapping[IncarnationName, EligibleUpstream],
     rates: Mapping[Key, float],
     most: int,
 ) -> list[Move]:
@@ -228,14 +233,14 @@
     Yesterday's busy keys lie cut up among many owners. Joined again, they
     cost fewer renewals and leave room to cut today's.
     """
-    if len(table.tenures) <= _RANGES_CROWDED * len(takers):
+    if len(table.tenures) <= _RANGES_CROWDED * len(eligible):
         return []
     busy = sorted(rates)
     moves: list[Move] = []
     last_moved = False
     for left, tenure in zip(table.tenures, table.tenures[1:], strict=False):
         settled = not left.moving and not tenure.moving and not last_moved
-        foreign = tenure.owner != left.owner and left.owner in takers
+        foreign = tenure.owner != left.owner and left.owner in eligible
         narrow = len(tenure.keys) <= _NARROW
         idle = _sum_work(tenure, busy, rates) <= _NEGLIGIBLE
         last_moved = settled and foreign and narrow and idle
--- a/sedgetide/core/ownership/evacuation.py
+++ b/sedgetide/core/ownership/evacuation.py
@@ -12,8 +12,8 @@
 
 from sedgetide.core.identifiers import IncarnationName
 from sedgetide.core.identifiers import Key
-from sedgetide.core.ownership._loads import Loads
-from sedgetide.core.ownership._loads import Taker
+from sedgetide.core.ownership.projected_load import EligibleUpstream
+from sedgetide.core.ownership.projected_load import ProjectedLoad
 from sedgetide.core.ownership.ranges import group_keys
 from sedgetide.core.ownership.ranges import Move
 from sedgetide.core.ownership.ranges import RangeTable
@@ -25,7 +25,7 @@
 _ROUND = 0.35
 
 
-class EvacuationPace:
+class EvacuationPacer:
     """How many ranges may leave now."""
 
     def __init__(self) -> None:
@@ -60,7 +60,7 @@
 
 def plan_evacuation(
     table: RangeTable,
-    takers: Mapping[IncarnationName, Taker],
+    eligible: Mapping[IncarnationName, EligibleUpstream],
     rates: Mapping[Key, float],
     owners: Collection[IncarnationName],
     most: int,
@@ -83,7 +83,7 @@
     most : int
         Moves in this round.
     """
-    if not takers or most <= 0:
+    if not eligible or most <= 0:
         return []
     groups = group_keys(rates, table.tenures)
     leaving = [
@@ -92,7 +92,7 @@
         if tenure.owner in owners and not tenure.moving
     ]
     leaving.sort(key=lambda each: (-each[0], each[1].low))
-    loads = Loads(table.tenures, takers, rates)
+    loads = ProjectedLoad(table.tenures, eligible, rates)
     moves = []
     for work, tenure in leaving[:most]:
         goal = loads.find_idlest()
--- a/sedgetide/core/ownership/holds.py
+++ b/sedgetide/core/ownership/holds.py
@@ -73,7 +73,7 @@
         ]
         self._released.setdefault(upstream, []).append(keys)
 
-    def find_end(
+    def find_hold_end(
         self,
         upstream: IncarnationName,
         keys: KeyRange,
--- a/sedgetide/core/ownership/isolation.py
+++ b/sedgetide/core/ownership/isolation.py
@@ -12,7 +12,7 @@
 
 from sedgetide.core.identifiers import IncarnationName
 from sedgetide.core.identifiers import Key
-from sedgetide.core.ownership._loads import Loads
+from sedgetide.core.ownership.projected_load import ProjectedLoad
 from sedgetide.core.ownership.ranges import KeyRange
 from sedgetide.core.ownership.ranges import Move
 from sedgetide.core.ownership.ranges import Tenure
@@ -32,12 +32,12 @@
     work: float
 
 
-def plan_isolation(loads: Loads, most: int) -> list[Move]:
+def plan_isolation(loads: ProjectedLoad, most: int) -> list[Move]:
     """Return moves that leave hot keys alone at fast upstreams.
 
     Parameters
     ----------
-    loads : Loads
+    loads : ProjectedLoad
         How busy all are; takes in what is planned.
     most : int
         Largest number of moves.
@@ -60,7 +60,7 @@
     return moves[: max(0, most)]
 
 
-def _list_hot_keys(loads: Loads) -> list[_HotKey]:
+def _list_hot_keys(loads: ProjectedLoad) -> list[_HotKey]:
     """Return the hottest keys, of a few upstreams at most."""
     found = []
     least = max(_MORE_THAN_ENOUGH, _FAR_ABOVE_MEAN * loads.find_mean())
@@ -72,7 +72,7 @@
                     found.append(_HotKey(key, name, tenure, work))
     found.sort(key=lambda hot: (-hot.work, hot.key))
     owners: set[IncarnationName] = set()
-    bound = len(loads.takers) // _MOST_SHARE
+    bound = len(loads.eligible) // _MOST_SHARE
     hottest = []
     for hot in found:
         if hot.owner not in owners and len(owners) < bound:
@@ -81,17 +81,19 @@
     return hottest
 
 
-def _find_busy(loads: Loads, name: IncarnationName, work: float) -> float:
-    taker = loads.takers[name]
+def _find_busy(
+    loads: ProjectedLoad, name: IncarnationName, work: float
+) -> float:
+    taker = loads.eligible[name]
     return work * taker.slowness / taker.slots
 
 
 def _find_faster(
-    loads: Loads, owner: IncarnationName
+    loads: ProjectedLoad, owner: IncarnationName
 ) -> IncarnationName | None:
     """Return an upstream that gets much more done than the owner."""
     own = _find_busy(loads, owner, 1.0)
-    others = loads.takers.keys() - loads.crowded
+    others = loads.eligible.keys() - loads.crowded
     if not others:
         return None
     best = min(others, key=lambda name: (_find_busy(loads, name, 1.0), name))
@@ -101,7 +103,7 @@
 
 
 def _list_others(
-    loads: Loads, hot: _HotKey
+    loads: ProjectedLoad, hot: _HotKey
 ) -> Iterator[tuple[KeyRange, float]]:
     """Yield all that the owner has besides its hot key, with its work."""
     for tenure, keys in loads.keys[hot.owner]:
--- a/sedgetide/core/ownership/leadership.py
+++ b/sedgetide/core/ownership/leadership.py
@@ -24,7 +24,7 @@
 _LONGEST_YIELD = 0.6
 
 
-def find_yield(processors: float) -> float:
+def find_election_delay(processors: float) -> float:
     """Return for how many seconds a host lets stronger ones stand first.
 
     The leader renews every grant and feeds every host. On a weak host of a
@@ -94,7 +94,7 @@
     margin: float = 0.25
     order_timeout: float = 0.6
 
-    def fit(self, longest_hold: float) -> "Durations":
+    def cap_holds(self, longest_hold: float) -> "Durations":
         """Return these durations with no hold over what upstreams accept."""
         return msgspec.structs.replace(
             self,
@@ -107,7 +107,7 @@
         """Return how long after its send a grant may still be held."""
         return hold * (1.0 + self.clock_error) + self.margin
 
-    def bound_unknown(self) -> float:
+    def max_inherited_hold(self) -> float:
         """Return how long a grant may be held that a lost leader gave.
 
         Counted from a moment at which it may still have held its record.
@@ -133,7 +133,7 @@
         self._outlived = False
 
     @property
-    def outlived(self) -> bool:
+    def era_ended(self) -> bool:
         """Whether the own record is of an era of the store that is over.
 
         There is no further proof. As long as the last one counts, grants
@@ -195,7 +195,7 @@
             and now < self._proved_at + self._durations.proof_life
         )
 
-    def is_hopeless(self, now: float) -> bool:
+    def is_certainly_lost(self, now: float) -> bool:
         """Tell whether the record is certainly gone, though nobody said so.
 
         A host that the store turns away hears neither that its lease has
@@ -229,4 +229,4 @@
 
     def bound_inherited(self) -> float:
         """Return until when orders of earlier leaders may hold."""
-        return self._took_over_at + self._durations.bound_unknown()
+        return self._took_over_at + self._durations.max_inherited_hold()
--- a/sedgetide/core/ownership/leasing.py
+++ b/sedgetide/core/ownership/leasing.py
@@ -25,7 +25,7 @@
 ALWAYS = float("inf")
 
 
-class CallKind(enum.Enum):
+class ControlCallKind(enum.Enum):
     """What a keeper asks of an upstream."""
 
     STATUS = "status"
@@ -33,12 +33,12 @@
     RELEASE = "release"
 
 
-class Call(msgspec.Struct, frozen=True):
+class ControlCall(msgspec.Struct, frozen=True):
     """A control call to be made.
 
     Parameters
     ----------
-    kind : CallKind
+    kind : ControlCallKind
         What to ask.
     token : Token or None
         Stamp to give back; None for a status call.
@@ -48,7 +48,7 @@
         Own clock time after which it may not be sent.
     """
 
-    kind: CallKind
+    kind: ControlCallKind
     token: Token | None = None
     shards: dict[ShardKey, Epoch] = {}
     not_after: float = ALWAYS
@@ -69,7 +69,7 @@
     proved_until: float = NEVER
 
 
-class Answer(msgspec.Struct, frozen=True):
+class ControlAnswer(msgspec.Struct, frozen=True):
     """An upstream's answer to a control call.
 
     Parameters
@@ -91,7 +91,9 @@
     refused: frozenset[ShardKey] = frozenset()
 
 
-def _list_taken(call: Call, answer: Answer) -> dict[ShardKey, Epoch]:
+def _list_taken(
+    call: ControlCall, answer: ControlAnswer
+) -> dict[ShardKey, Epoch]:
     return {
         key: epoch
         for key, epoch in call.shards.items()
@@ -99,7 +101,7 @@
     }
 
 
-class Report(msgspec.Struct, frozen=True):
+class UpstreamReport(msgspec.Struct, frozen=True):
     """What a keeper tells the assigner of its upstream.
 
     Parameters
@@ -189,7 +191,7 @@
 
     # Requests
 
-    def find_obstacle(
+    def find_refusal_reason(
         self, shard: ShardKey | None, expires: float, now: float
     ) -> Reason | None:
         """Return why a request may not be sent at this very moment.
@@ -220,7 +222,9 @@
             return NO_EPOCH
         return self._authorization.assignment.find_owner(shard).epoch
 
-    def find_limit(self, shard: ShardKey | None, expires: float) -> float:
+    def find_send_deadline(
+        self, shard: ShardKey | None, expires: float
+    ) -> float:
         """Return the clock time after which a request may not be sent."""
         if shard is None:
             return expires
@@ -241,26 +245,28 @@
 
     # Control calls
 
-    def next_call(self, now: float) -> Call:
+    def next_call(self, now: float) -> ControlCall:
         """Return the control call to make now."""
         if self._ledger.token is None or self._standing_back:
-            return Call(CallKind.STATUS)
+            return ControlCall(ControlCallKind.STATUS)
         ready = self._find_releasable()
         if ready:
             for key in ready:
                 self._ledger.drop(key)
-            return Call(CallKind.RELEASE, self._ledger.token, ready)
+            return ControlCall(
+                ControlCallKind.RELEASE, self._ledger.token, ready
+            )
         if now >= self._authorization.proved_until:
             # Without authority the call only shows whether it is alive.
-            return Call(CallKind.STATUS)
-        return Call(
-            CallKind.GRANT,
+            return ControlCall(ControlCallKind.STATUS)
+        return ControlCall(
+            ControlCallKind.GRANT,
             self._ledger.token,
             self._find_grantable(),
             self._authorization.proved_until,
         )
 
-    def note_answer(self, call: Call, answer: Answer) -> bool:
+    def note_answer(self, call: ControlCall, answer: ControlAnswer) -> bool:
         """Take in the answer to a call.
 
         Returns
@@ -280,13 +286,13 @@
             return True
         foreign = answer.orderer not in ("", self._orderer)
         yields = foreign and answer.held > 0 and self._outranks(answer.orderer)
-        if call.kind is CallKind.STATUS:
+        if call.kind is ControlCallKind.STATUS:
             # Another keeper that comes first and still renews is left
             # alone: two that outdid each other would have the upstream
             # refuse the requests of both by turns.
             self._standing_back = yields
             return False
-        if call.kind is CallKind.RELEASE:
+        if call.kind is ControlCallKind.RELEASE:
             self._released.update(_list_taken(call, answer))
         else:
             self._ledger.note_granted(call.token, _list_taken(call, answer))
@@ -313,9 +319,9 @@
         lost = self.health is Health.LOST
         return lost or bool(self.list_lost() or self.list_released())
 
-    def make_report(self) -> Report:
+    def make_report(self) -> UpstreamReport:
         """Return what the assigner has to hear."""
-        return Report(
+        return UpstreamReport(
             self.upstream,
             self.health is not Health.LOST,
             self.list_lost(),
--- a/sedgetide/core/ownership/limits.py
+++ b/sedgetide/core/ownership/limits.py
@@ -19,7 +19,7 @@
     heard_at: float
 
 
-class LimitBook:
+class LimitTracker:
     """Limits in force, as the lenders of the upstreams report them."""
 
     def __init__(self) -> None:
--- a/sedgetide/core/ownership/load.py
+++ b/sedgetide/core/ownership/load.py
@@ -73,7 +73,7 @@
     failures: int = 0
 
 
-class LoadView(msgspec.Struct, frozen=True):
+class LoadEstimate(msgspec.Struct, frozen=True):
     """Load of a service's keys, as one memory shows it.
 
     Parameters
@@ -123,7 +123,7 @@
         }
         self._scaled_at = now
 
-    def view(self, mean_work: float, seen: float, now: float) -> LoadView:
+    def view(self, mean_work: float, seen: float, now: float) -> LoadEstimate:
         """Return what is remembered.
 
         Parameters
@@ -135,12 +135,12 @@
             up, less than it holds came in.
         """
         if self._scaled_at is None:
-            return LoadView({})
+            return LoadEstimate({})
         self._rescale(now)
         held = self._span * (1.0 - math.exp(-seen / self._span))
         squares = self._span * (1.0 - math.exp(-2.0 * seen / self._span)) / 2
         rates = {key: work / held for key, work in self._work.items()}
-        return LoadView(rates, mean_work * squares / held**2)
+        return LoadEstimate(rates, mean_work * squares / held**2)
 
 
 class _ServiceLoad:
@@ -192,7 +192,7 @@
     return 1.0 - (1.0 - each) ** count
 
 
-class LoadBook:
+class LoadTracker:
     """Work of the last seconds by key, and how slow each upstream is."""
 
     def __init__(self) -> None:
@@ -223,11 +223,13 @@
             for _ in range(min(each.failures, 4)):
                 known.note_failure()
 
-    def list_views(self, service: ServiceName, now: float) -> list[LoadView]:
+    def list_views(
+        self, service: ServiceName, now: float
+    ) -> list[LoadEstimate]:
         """Return the load as each memory shows it, the shortest first."""
         load = self._services.get(service)
         if load is None or load.mean_work is None:
-            return [LoadView({})]
+            return [LoadEstimate({})]
         seen = _LEAST_SEEN
         if self.began_at is not None:
             seen = max(seen, now - self.began_at)
--- a/sedgetide/core/ownership/sightings.py
+++ b/sedgetide/core/ownership/move_observations.py
@@ -4,7 +4,7 @@
 from sedgetide.core.ownership.ranges import Tenure
 
 
-class MoveSightings:
+class MoveObservations:
     """Moves that this host has seen in the record, and since when.
 
     A move stands in the record from the moment at which it was written;
--- a/sedgetide/core/ownership/planning.py
+++ b/sedgetide/core/ownership/planning.py
@@ -17,7 +17,7 @@
 from sedgetide.core.ownership.assignment import ShardState
 
 
-class Situation(msgspec.Struct, frozen=True):
+class PlanningInput(msgspec.Struct, frozen=True):
     """All that the next change of an assignment depends on.
 
     Parameters
@@ -38,7 +38,7 @@
         Hosts that answer but are not on the member list.
     absent : frozenset
         Members that have been silent for long.
-    list_known : bool
+    member_list_known : bool
         Whether a majority knows the present member list.
     """
 
@@ -50,13 +50,13 @@
     pins: Mapping[ShardKey, UpstreamName] = {}
     joiners: Mapping[HostName, Member] = {}
     absent: Collection[HostName] = frozenset()
-    list_known: bool = False
+    member_list_known: bool = False
 
 
 def _spread(
     keys: Collection[ShardKey],
     assignment: Assignment,
-    situation: Situation,
+    situation: PlanningInput,
 ) -> dict[ShardKey, UpstreamName]:
     """Give each shard to its pin or the upstream that owns the fewest."""
     counts: collections.Counter[UpstreamName] = collections.Counter(
@@ -78,7 +78,7 @@
 
 
 def _plan_completion(
-    assignment: Assignment, situation: Situation, change_id: ChangeId
+    assignment: Assignment, situation: PlanningInput, change_id: ChangeId
 ) -> Assignment | None:
     owners = _spread(situation.stopped, assignment, situation)
     if not owners:
@@ -87,7 +87,7 @@
 
 
 def _plan_first(
-    assignment: Assignment, situation: Situation, change_id: ChangeId
+    assignment: Assignment, situation: PlanningInput, change_id: ChangeId
 ) -> Assignment | None:
     missing = [
         key
@@ -100,7 +100,7 @@
 
 
 def _plan_release(
-    assignment: Assignment, situation: Situation, change_id: ChangeId
+    assignment: Assignment, situation: PlanningInput, change_id: ChangeId
 ) -> Assignment | None:
     keys = [
         key
@@ -119,9 +119,9 @@
 
 
 def _plan_members(
-    assignment: Assignment, situation: Situation, change_id: ChangeId
+    assignment: Assignment, situation: PlanningInput, change_id: ChangeId
 ) -> Assignment | None:
-    if assignment.members and not situation.list_known:
+    if assignment.members and not situation.member_list_known:
         return None
     for host in sorted(situation.joiners):
         if assignment.members.get(host) != situation.joiners[host]:
@@ -135,7 +135,7 @@
 
 
 def plan_change(
-    assignment: Assignment, situation: Situation, change_id: ChangeId
+    assignment: Assignment, situation: PlanningInput, change_id: ChangeId
 ) -> Assignment | None:
     """Return the next version of an assignment, or None when it is right.
 
@@ -143,7 +143,7 @@
     ----------
     assignment : Assignment
         Version in force.
-    situation : Situation
+    situation : PlanningInput
         What is known at present.
     change_id : ChangeId
         Unique id for the change.
--- a/sedgetide/core/ownership/_loads.py
+++ b/sedgetide/core/ownership/projected_load.py
@@ -13,7 +13,7 @@
 from sedgetide.core.ownership.ranges import Tenure
 
 
-class Taker(msgspec.Struct, frozen=True):
+class EligibleUpstream(msgspec.Struct, frozen=True):
     """An upstream that may own keys.
 
     Parameters
@@ -32,21 +32,21 @@
     slowness: float = 1.0
 
 
-class Loads:
+class ProjectedLoad:
     """Busy share of each taker, as it would be after the moves so far."""
 
     def __init__(
         self,
         tenures: Sequence[Tenure],
-        takers: Mapping[IncarnationName, Taker],
+        eligible: Mapping[IncarnationName, EligibleUpstream],
         rates: Mapping[Key, float],
     ) -> None:
-        self.takers = takers
+        self.eligible = eligible
         self.keys: dict[IncarnationName, list[tuple[Tenure, list[Key]]]] = {
-            name: [] for name in takers
+            name: [] for name in eligible
         }
-        self.work = dict.fromkeys(takers, 0.0)
-        self.counts = dict.fromkeys(takers, 0)
+        self.work = dict.fromkeys(eligible, 0.0)
+        self.counts = dict.fromkeys(eligible, 0)
         self.cuts: dict[IncarnationName, list[KeyRange]] = (
             collections.defaultdict(list)
         )
@@ -56,7 +56,7 @@
         groups = group_keys(rates, tenures)
         for tenure, keys in zip(tenures, groups, strict=True):
             holder = tenure.successor or tenure.owner
-            if holder not in takers:
+            if holder not in eligible:
                 continue
             self.counts[holder] += 1
             self.work[holder] += sum(rates[key] for key in keys)
@@ -64,20 +64,20 @@
                 self.keys[holder].append((tenure, keys))
 
     def find_busy(self, name: IncarnationName, more: float = 0.0) -> float:
-        taker = self.takers[name]
+        taker = self.eligible[name]
         return (self.work[name] + more) * taker.slowness / taker.slots
 
     def find_mean(self) -> float:
         """Return how busy an upstream is on average."""
-        busy = sum(self.find_busy(name) for name in self.takers)
-        return busy / len(self.takers)
+        busy = sum(self.find_busy(name) for name in self.eligible)
+        return busy / len(self.eligible)
 
     def find_idlest(self) -> IncarnationName:
         return min(
-            self.takers.keys() - self.crowded or self.takers,
+            self.eligible.keys() - self.crowded or self.eligible,
             key=lambda name: (
                 self.find_busy(name),
-                self.counts[name] / self.takers[name].slots,
+                self.counts[name] / self.eligible[name].slots,
                 name,
             ),
         )
--- a/sedgetide/core/ownership/recovery.py
+++ b/sedgetide/core/ownership/recovery.py
@@ -33,13 +33,13 @@
     settled_at : float
         When everyone who lives is registered again; before, it is not known
         whom to ask.
-    over_at : float
+    grants_expire_at : float
         When nothing granted in earlier eras can hold any longer.
     """
 
-    def __init__(self, settled_at: float, over_at: float) -> None:
+    def __init__(self, settled_at: float, grants_expire_at: float) -> None:
         self._settled_at = settled_at
-        self._over_at = over_at
+        self._over_at = grants_expire_at
         self._released: set[IncarnationName] = set()
 
     def note_released(self, upstream: IncarnationName) -> None:
@@ -50,7 +50,7 @@
         """Return the upstreams that have given back all keys."""
         return frozenset(self._released)
 
-    def list_open(
+    def list_pending_releases(
         self, upstreams: Collection[IncarnationName], now: float
     ) -> list[IncarnationName]:
         """Return the upstreams that have to give back their keys now."""
--- a/sedgetide/core/ownership/smoothing.py
+++ b/sedgetide/core/ownership/smoothing.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from sedgetide.core.identifiers import Key
-from sedgetide.core.ownership.load import LoadView
+from sedgetide.core.ownership.load import LoadEstimate
 from sedgetide.core.ownership.ranges import group_keys
 from sedgetide.core.ownership.ranges import Tenure
 
@@ -34,7 +34,7 @@
 class _Seen:
     """What one memory says of all ranges."""
 
-    def __init__(self, view: LoadView, tenures: Sequence[Tenure]) -> None:
+    def __init__(self, view: LoadEstimate, tenures: Sequence[Tenure]) -> None:
         self.view = view
         self._certain = _CERTAINTY + math.sqrt(2 * math.log(len(tenures) + 1))
         self.shares = [
@@ -71,13 +71,13 @@
 
 
 def smooth_rates(
-    views: Sequence[LoadView], tenures: Sequence[Tenure]
+    views: Sequence[LoadEstimate], tenures: Sequence[Tenure]
 ) -> dict[Key, float]:
     """Return the slots that keys are taken to keep busy.
 
     Parameters
     ----------
-    views : sequence of LoadView
+    views : sequence of LoadEstimate
         What the memories show, the shortest one first.
     tenures : sequence of Tenure
         All ranges, in order.
--- a/sedgetide/core/ownership/terms.py
+++ b/sedgetide/core/ownership/terms.py
@@ -52,7 +52,7 @@
     @property
     def longest_hold(self) -> float:
         """Seconds for which an order of an earlier leader may hold."""
-        return self._durations.bound_unknown()
+        return self._durations.max_inherited_hold()
 
     @property
     def era(self) -> Era:
@@ -106,7 +106,7 @@
         """Take in that an upstream answered the release of keys."""
         self._holds.note_release(upstream, keys)
 
-    def find_end(
+    def find_hold_end(
         self,
         upstream: IncarnationName,
         keys: KeyRange,
@@ -118,12 +118,12 @@
         ----------
         known_since : float
             Since when each leader knows that they move; see
-            :class:`MoveSightings`. After that none has granted them to
+            :class:`MoveObservations`. After that none has granted them to
             their old owner, but for one that had lost its record before
             and did not know it yet.
         """
-        inherited = known_since + self._durations.bound_unknown()
-        return self._holds.find_end(upstream, keys, inherited)
+        inherited = known_since + self._durations.max_inherited_hold()
+        return self._holds.find_hold_end(upstream, keys, inherited)
 
     def has_ended(
         self,
@@ -137,9 +137,9 @@
         Parameters
         ----------
         known_since : float
-            As in :meth:`find_end`.
+            As in :meth:`find_hold_end`.
         """
-        return now >= self.find_end(upstream, keys, known_since)
+        return now >= self.find_hold_end(upstream, keys, known_since)
 
     def prune(self, now: float) -> None:
         """Forget holds that have ended."""
--- a/sedgetide/core/requests/attempts.py
+++ b/sedgetide/core/requests/attempts.py
@@ -10,11 +10,11 @@
 from sedgetide.core.identifiers import Key
 from sedgetide.core.identifiers import NO_FENCE
 from sedgetide.core.identifiers import ServiceName
-from sedgetide.core.membership.directory import Directory
 from sedgetide.core.membership.directory import RegisteredUpstream
+from sedgetide.core.membership.directory import UpstreamDirectory
 from sedgetide.core.ownership.ranges import RangeTable
 from sedgetide.core.requests.outcomes import Outcome
-from sedgetide.core.requests.routes import Timetable
+from sedgetide.core.requests.routes import RequestTimes
 
 # Share of a request's time; with less, a second run ends after it has left in
 # most cases and takes a slot from one that would not.
@@ -60,11 +60,11 @@
 )
 
 # The upstream said nothing at all.
-NO_WORD = frozenset({Failure.UNREACHABLE, Failure.SILENT})
+NO_RESPONSE_FAILURES = frozenset({Failure.UNREACHABLE, Failure.SILENT})
 
 # These tell of the upstream itself; a full one, or one out of reach, is not
 # slow, and would lose its keys for what it was asked too much.
-OWN_FAULTS = frozenset({Failure.FAILED, Failure.SILENT, Failure.FOREIGN})
+UPSTREAM_FAULTS = frozenset({Failure.FAILED, Failure.SILENT, Failure.FOREIGN})
 
 
 class Target(msgspec.Struct, frozen=True):
@@ -106,7 +106,7 @@
 def find_owner(
     table: RangeTable | None,
     key: Key | None,
-    directory: Directory,
+    directory: UpstreamDirectory,
     now: float,
 ) -> Target | Wait:
     """Return the upstream that owns a key, if it may get requests for it."""
@@ -122,7 +122,7 @@
 
 
 def list_candidates(
-    directory: Directory,
+    directory: UpstreamDirectory,
     service: ServiceName,
     tried: Collection[IncarnationName],
     now: float,
@@ -160,7 +160,7 @@
     route: RouteRule,
     progress: Progress,
     keyed: bool,
-    times: Timetable,
+    times: RequestTimes,
     now: float,
 ) -> bool:
     """Tell whether a request may be sent once more after a failure.
@@ -173,7 +173,7 @@
         What has become of it so far.
     keyed : bool
         Whether only one upstream may run it.
-    times : Timetable
+    times : RequestTimes
         Its times.
     now : float
         Own clock.
--- a/sedgetide/core/requests/usual.py
+++ b/sedgetide/core/requests/averages.py
@@ -9,7 +9,7 @@
 _GAIN = 0.1
 
 
-class UsualFigures:
+class AnswerAverages:
     """Means of the last answers, by service and by route."""
 
     def __init__(self) -> None:
@@ -37,10 +37,10 @@
         known = self._bytes.setdefault(route, size)
         self._bytes[route] = known + _GAIN * (size - known)
 
-    def find_seconds(self, service: ServiceName) -> float:
+    def find_service_time(self, service: ServiceName) -> float:
         """Return what requests for a service take, in seconds."""
         return self._seconds.get(service, _FIRST_GUESS)
 
-    def find_bytes(self, route: RouteName) -> float:
+    def find_answer_size(self, route: RouteName) -> float:
         """Return how large answers of a route are; zero before the first."""
         return self._bytes.get(route, 0.0)
--- a/sedgetide/core/requests/bodies.py
+++ b/sedgetide/core/requests/bodylimits.py
@@ -10,7 +10,7 @@
 _MEGABYTE = 1024 * 1024
 
 
-def bound_bodies(memory_megabytes: float) -> int:
+def compute_body_limit(memory_megabytes: float) -> int:
     """Return the bytes of bodies that fit into a host's memory.
 
     Parameters
@@ -23,7 +23,7 @@
     return int(room * _MEGABYTE / _COPIES)
 
 
-class BodyAllowance:
+class BodyBudget:
     """Bytes of bodies that are in hand, and their bound.
 
     Uploads come in at the pace of many callers and leave at the pace of
--- a/sedgetide/core/requests/breaks.py
+++ b/sedgetide/core/requests/brokenruns.py
@@ -14,7 +14,7 @@
 from sedgetide.core.identifiers import Fingerprint
 from sedgetide.core.identifiers import IncarnationName
 from sedgetide.core.identifiers import RequestId
-from sedgetide.core.membership.directory import Directory
+from sedgetide.core.membership.directory import UpstreamDirectory
 
 # Seconds; an entry lapses after three heartbeats, 2.6 s at 0.87 s each, and
 # twice that covers news that come late.
@@ -119,7 +119,7 @@
         else:
             del self._open[upstream]
 
-    def conclude(
+    def pop_ended(
         self, upstream: IncarnationName, proof: LossProof
     ) -> EndedUpstream | None:
         """Return what an upstream had that is known to have ended."""
@@ -128,14 +128,14 @@
             return None
         return EndedUpstream(upstream, proof, tuple(runs))
 
-    def take_withdrawn(
-        self, directory: Directory, now: float
+    def pop_withdrawn(
+        self, directory: UpstreamDirectory, now: float
     ) -> list[EndedUpstream]:
         """Return the upstreams that the registry has dropped meanwhile."""
         ended = []
         for name, runs in list(self._open.items()):
             if directory.find(name) is None:
-                ended.append(self.conclude(name, LossProof.WITHDRAWN))
+                ended.append(self.pop_ended(name, LossProof.WITHDRAWN))
             elif now - runs[-1].at > _OPEN_FOR:
                 del self._open[name]
         return ended
--- a/sedgetide/core/requests/cold.py
+++ b/sedgetide/core/requests/coldstart.py
@@ -23,7 +23,7 @@
 _MOST = 1_000_000
 
 
-def bound_cold_sends(rate: float, overrun: float, slack: float) -> int:
+def compute_cold_send_limit(rate: float, overrun: float, slack: float) -> int:
     """Return how many sends one lender allows in the time of a span.
 
     Parameters
--- a/sedgetide/core/requests/health.py
+++ b/sedgetide/core/requests/health.py
@@ -49,7 +49,7 @@
         if self._unreached_since is None:
             self._unreached_since = now
 
-    def find_absence(self, now: float) -> float:
+    def find_unreachable_time(self, now: float) -> float:
         """Return for how many seconds it has not been reached."""
         since = self._unreached_since
         return 0.0 if since is None else now - since
--- a/sedgetide/core/requests/idling.py
+++ b/sedgetide/core/requests/idleconnections.py
@@ -5,7 +5,7 @@
 _MEMORY = 30.0
 
 
-class RestBound:
+class IdleLimit:
     """Longest rest after which a connection is still taken to be alive.
 
     Upstreams close idle connections after a time that they announce, and
@@ -33,10 +33,10 @@
         if rested < _SHORTEST:
             return
         closer = max(_SHORTEST, rested * _CLOSER)
-        self._longest = min(self.find_longest(now), closer)
+        self._longest = min(self.find_max_idle(now), closer)
         self._noted_at = now
 
-    def find_longest(self, now: float) -> float:
+    def find_max_idle(self, now: float) -> float:
         """Return the longest rest that is trusted, in seconds."""
         if now - self._noted_at > _MEMORY:
             return float("inf")
--- a/sedgetide/core/requests/choice.py
+++ b/sedgetide/core/requests/loadbalancing.py
@@ -42,7 +42,7 @@
         Whether requests failed there lately.
     crossing : float
         Seconds that staying in the own data centre is worth; see
-        :func:`price_crossing`. Zero for an upstream that is there.
+        :func:`compute_crossing_cost`. Zero for an upstream that is there.
     bounded : bool
         Whether it bears only so many requests a second, from all hosts.
     """
@@ -57,7 +57,7 @@
     bounded: bool = False
 
 
-def price_crossing(size: float, objective: float) -> float:
+def compute_crossing_cost(size: float, objective: float) -> float:
     """Return how much sooner a crossing has to bring the answer, in seconds.
 
     Parameters
--- a/sedgetide/core/requests/outcomes.py
+++ b/sedgetide/core/requests/outcomes.py
@@ -59,7 +59,7 @@
 
 # After one of these a request may have run; only an idempotent one is sent
 # again.
-UNSURE_REASONS = frozenset(
+UNCERTAIN_REASONS = frozenset(
     {Reason.LINK_LOST, Reason.SILENT, Reason.BAD_ANSWER}
 )
 
--- a/sedgetide/core/requests/ages.py
+++ b/sedgetide/core/requests/overdue.py
@@ -18,7 +18,7 @@
     before: float = 0.0
 
 
-class CallerAges:
+class OverdueDetector:
     """Tells callers who come again from those who come for the first time.
 
     A caller tells how long it still waits, and all of a route's callers
--- a/sedgetide/core/requests/places.py
+++ b/sedgetide/core/requests/places.py
@@ -21,7 +21,7 @@
 
 from sedgetide.core.identifiers import IncarnationName
 from sedgetide.core.identifiers import LinkAddress
-from sedgetide.core.requests.cold import RecentSends
+from sedgetide.core.requests.coldstart import RecentSends
 from sedgetide.core.requests.health import FIRST_GUESS
 from sedgetide.core.requests.queues import UpstreamQueue
 from sedgetide.core.requests.ratelimits import StatedLimit
--- a/sedgetide/core/requests/pushback.py
+++ b/sedgetide/core/requests/pushback.py
@@ -63,7 +63,7 @@
         kept = [each for each in ending if each[1] > now]
         self._until = dict(kept[-_MOST_KEPT:])
 
-    def find_left(self, upstream: IncarnationName, now: float) -> float:
+    def find_remaining(self, upstream: IncarnationName, now: float) -> float:
         """Return the seconds that are left; zero when there are none."""
         return max(0.0, self._until.get(upstream, now) - now)
 
@@ -71,7 +71,7 @@
         """Return the upstreams that want nothing at present."""
         return {name for name, end in self._until.items() if end > now}
 
-    def find_first(
+    def find_shortest(
         self, upstreams: Collection[IncarnationName], now: float
     ) -> float:
         """Return when the first of some upstreams may be sent to again.
@@ -79,5 +79,5 @@
         In seconds.
         """
         return min(
-            (self.find_left(each, now) for each in upstreams), default=0.0
+            (self.find_remaining(each, now) for each in upstreams), default=0.0
         )
--- a/sedgetide/core/requests/quarantine.py
+++ b/sedgetide/core/requests/quarantine.py
@@ -181,7 +181,7 @@
         other_stays, other_losses = _list_content(other)
         return other_stays <= stays and other_losses <= losses
 
-    def names(self, other: "QuarantineRecord") -> bool:
+    def has_same_content(self, other: "QuarantineRecord") -> bool:
         """Tell whether both say the same, whenever they were written."""
         return _list_content(self) == _list_content(other)
 
@@ -212,7 +212,7 @@
         """Whether nothing is known against any request."""
         return not self._suspects and not self._stays
 
-    def find_stay(self, fingerprint: Fingerprint, now: float) -> float:
+    def find_stay_left(self, fingerprint: Fingerprint, now: float) -> float:
         """Return for how many seconds a request is refused still."""
         stay = self._stays.get(fingerprint)
         return 0.0 if stay is None else max(0.0, stay.until - now)
@@ -224,7 +224,7 @@
         """
         return fingerprint in self._suspects or fingerprint in self._stays
 
-    def is_grave(self, fingerprint: Fingerprint) -> bool:
+    def is_strong_suspect(self, fingerprint: Fingerprint) -> bool:
         """Tell whether one more loss may decide about a request."""
         if fingerprint in self._stays:
             return True
--- a/sedgetide/core/requests/retries.py
+++ b/sedgetide/core/requests/retries.py
@@ -10,7 +10,7 @@
 FIRST_TOKENS = 1.0
 
 
-class RetryTerms(msgspec.Struct, frozen=True):
+class RetryPolicy(msgspec.Struct, frozen=True):
     """What a deployment grants for retries.
 
     Parameters
@@ -25,7 +25,7 @@
     slack: float
 
 
-def bound_burst(slack: float, hosts: int | None) -> float:
+def compute_burst_limit(slack: float, hosts: int | None) -> float:
     """Return how many retries a host may save up.
 
     All hosts may fall back on what they saved in the same moment, when an
--- a/sedgetide/core/requests/returns.py
+++ b/sedgetide/core/requests/retryafter.py
@@ -8,11 +8,11 @@
 from sedgetide.core.requests.windows import UpstreamLoad
 
 # Seconds; a place is given back within half of what a request takes.
-SOON = 0.25
+SHORT_RETRY_DELAY = 0.25
 # Seconds; until a host that starts has read the routes.
-UNPREPARED = 0.5
+STARTUP_RETRY_DELAY = 0.5
 # Seconds; until a host that hears nothing of the store may hear it again.
-OUT_OF_TOUCH = 1.5
+STORE_SILENT_RETRY_DELAY = 1.5
 # Seconds; a queue changes too fast to be foretold for longer.
 _LONGEST_QUEUE = 1.0
 _LEAST_QUEUED = 0.05
@@ -28,7 +28,7 @@
 _PLANNED_MOVE = 0.6
 
 
-def wait_for_queue(seconds: float) -> float:
+def retry_after_queue(seconds: float) -> float:
     """Return when to come again to a queue that is too long.
 
     Parameters
@@ -36,10 +36,10 @@
     seconds : float
         Wait there by what is known.
     """
-    return min(_LONGEST_QUEUE, max(SOON, round(seconds, 2)))
+    return min(_LONGEST_QUEUE, max(SHORT_RETRY_DELAY, round(seconds, 2)))
 
 
-def wait_for_place(seconds: float) -> float:
+def retry_after_place(seconds: float) -> float:
     """Return when to come again to an upstream whose places are all lent.
 
     Parameters
@@ -51,7 +51,7 @@
     return round(max(_LEAST_FOR_PLACE, most), 2)
 
 
-def wait_for_limit(seconds: float) -> float:
+def retry_after_limit(seconds: float) -> float:
     """Return when to come again to an upstream that has named a limit.
 
     Parameters
@@ -59,10 +59,10 @@
     seconds : float
         Until the limit has room again, as the lender says.
     """
-    return round(max(SOON, seconds), 2)
+    return round(max(SHORT_RETRY_DELAY, seconds), 2)
 
 
-def wait_for_backoff(seconds: float) -> float:
+def retry_after_backoff(seconds: float) -> float:
     """Return when to come again to an upstream that wants nothing yet.
 
     Parameters
@@ -70,10 +70,12 @@
     seconds : float
         That are left of it.
     """
-    return round(max(SOON, seconds), 2)
+    return round(max(SHORT_RETRY_DELAY, seconds), 2)
 
 
-def wait_for_upstream(load: UpstreamLoad | None, seconds: float) -> float:
+def retry_after_full_upstream(
+    load: UpstreamLoad | None, seconds: float
+) -> float:
     """Return when to come again to an upstream that was full.
 
     Parameters
@@ -84,12 +86,12 @@
         How long requests take there.
     """
     if load is None:
-        return SOON
+        return SHORT_RETRY_DELAY
     wait = load.waiting * seconds / max(1, load.slots)
     return min(_LONGEST_QUEUE, _LEAST_QUEUED + wait)
 
 
-def wait_for_owner(dark: float) -> float:
+def retry_after_owner_loss(dark: float) -> float:
     """Return when to come again for keys whose owner can't be reached.
 
     A data centre is cut off: its keys have no owner until the holds there
@@ -101,10 +103,10 @@
     dark : float
         Seconds for which this host has not reached an owner.
     """
-    return round(max(UNPREPARED, _DARK - dark), 2)
+    return round(max(STARTUP_RETRY_DELAY, _DARK - dark), 2)
 
 
-def wait_for_move(moving: float) -> float:
+def retry_after_move(moving: float) -> float:
     """Return when to come again for keys that are on their way.
 
     Parameters
@@ -114,5 +116,5 @@
         where the old owner is lost and its hold has to run out.
     """
     if moving <= _PLANNED_MOVE:
-        return SOON
-    return wait_for_owner(moving)
+        return SHORT_RETRY_DELAY
+    return retry_after_owner_loss(moving)
--- a/sedgetide/core/requests/routes.py
+++ b/sedgetide/core/requests/routes.py
@@ -69,7 +69,7 @@
     return route.shares[-1].service
 
 
-class Timetable(msgspec.Struct, frozen=True):
+class RequestTimes(msgspec.Struct, frozen=True):
     """Times of one request by the own clock.
 
     Parameters
@@ -87,7 +87,7 @@
     final: float
     objective: float
 
-    def bound_hold(self) -> float:
+    def find_hold_deadline(self) -> float:
         """Return until when the request may wait to be sent.
 
         Beyond, its caller does better to hear at once that it has not run
@@ -96,7 +96,7 @@
         patience = min(self.objective - self.began, self.final - self.began)
         return self.began + patience * _PATIENCE
 
-    def find_patience(self, now: float) -> float:
+    def find_useful_time(self, now: float) -> float:
         """Return the seconds within which an answer is still in time.
 
         A little is kept back, since what a request takes varies: one that
@@ -110,9 +110,9 @@
 _USEFUL = 0.9
 
 
-def set_times(
+def compute_times(
     route: RouteRule, deadline: float | None, began: float
-) -> Timetable:
+) -> RequestTimes:
     """Return the times of a request.
 
     Parameters
@@ -125,4 +125,4 @@
         Own clock.
     """
     left = route.timeout if deadline is None else min(deadline, route.timeout)
-    return Timetable(began, began + left, began + route.objective)
+    return RequestTimes(began, began + left, began + route.objective)
--- a/sedgetide/core/requests/trials.py
+++ b/sedgetide/core/requests/trials.py
@@ -118,7 +118,7 @@
         return [TrialDecision(each.ticket, verdict, wait) for each in waiting]
 
 
-class TrialDesk:
+class TrialScheduler:
     """Lets suspects run one at a time, for all hosts that ask."""
 
     def __init__(self) -> None:
--- a/sedgetide/core/requests/turns.py
+++ b/sedgetide/core/requests/windowqueue.py
@@ -34,14 +34,14 @@
     def __len__(self) -> int:
         return len(self._heap)
 
-    def enter_now(self, now: float) -> bool:
+    def try_enter(self, now: float) -> bool:
         """Take a place if one is free and nobody waits."""
         if self._heap or not self.window.is_free(now):
             return False
         self.window.in_flight += 1
         return True
 
-    def is_hopeless(self, priority: int, wait: float, now: float) -> bool:
+    def is_wait_too_long(self, priority: int, wait: float, now: float) -> bool:
         """Tell whether no place can come within some seconds."""
         return wait <= 0 or self.estimate_wait(priority, now) > wait
 
--- a/sedgetide/daemons/_admin.py
+++ b/sedgetide/daemons/_admin.py
@@ -59,7 +59,7 @@
 def start_admin(
     address: str, process: Inspectable, stack: contextlib.ExitStack
 ) -> None:
-    """Serve the admin port until the stack is closed.
+    """RequestHandler the admin port until the stack is closed.
 
     Parameters
     ----------
--- a/sedgetide/daemons/_assignmentwriter.py
+++ b/sedgetide/daemons/_assignmentwriter.py
@@ -5,9 +5,9 @@
 import gevent
 
 from sedgetide.backends.store import Store
-from sedgetide.core.membership.datacentre import Plan
+from sedgetide.core.membership.datacentre import AssignmentChange
 from sedgetide.daemons._metrics import ASSIGNMENT_CHANGES
-from sedgetide.daemons._storetask import StoreOwner
+from sedgetide.daemons._storetask import StoreListener
 from sedgetide.daemons._storetask import swap_assignment
 
 _log = logging.getLogger(__name__)
@@ -22,11 +22,11 @@
         Client for writes, owned by the caller.
     key : str
         Key of the assignment.
-    owner : StoreOwner
+    owner : StoreListener
         Given each version found in the store.
     """
 
-    def __init__(self, store: Store, key: str, owner: StoreOwner) -> None:
+    def __init__(self, store: Store, key: str, owner: StoreListener) -> None:
         self._store = store
         self._key = key
         self._owner = owner
@@ -37,7 +37,7 @@
         """Whether a change is being written."""
         return self._task is not None and not self._task.dead
 
-    def write(self, plan: Plan) -> None:
+    def write(self, plan: AssignmentChange) -> None:
         """Begin to write a change."""
         self._task = gevent.spawn(self._write, plan)
 
@@ -46,13 +46,13 @@
         if self._task is not None:
             self._task.kill()
 
-    def _write(self, plan: Plan) -> None:
+    def _write(self, plan: AssignmentChange) -> None:
         record = swap_assignment(
             self._store, self._key, plan.assignment, plan.expected
         )
         if record is None:
             # Another member may reach the store; let it assign.
-            self._owner.note_store_away(True)
+            self._owner.set_store_unavailable(True)
             return
         ASSIGNMENT_CHANGES.inc()
         _log.info(
@@ -64,4 +64,4 @@
                 "releasing": len(plan.assignment.list_releasing()),
             },
         )
-        self._owner.take_records([record])
+        self._owner.handle_records([record])
--- a/sedgetide/daemons/_control.py
+++ b/sedgetide/daemons/_control.py
@@ -21,8 +21,8 @@
 from sedgetide.coding.text import check_text
 from sedgetide.coding.values import decode_assignment
 from sedgetide.coding.values import decode_text
+from sedgetide.core.configuration.records import build_assignment_key
 from sedgetide.core.configuration.records import CONFIGURATION_KEY
-from sedgetide.core.configuration.records import name_assignment
 from sedgetide.core.configuration.records import Record
 from sedgetide.core.configuration.records import RecordCache
 from sedgetide.core.configuration.services import Service
@@ -34,7 +34,7 @@
 from sedgetide.core.membership.datacentre import DataCentreView
 from sedgetide.core.membership.datacentre import MemberReport
 from sedgetide.core.ownership.assignment import Member
-from sedgetide.core.ownership.leasing import Report
+from sedgetide.core.ownership.leasing import UpstreamReport
 from sedgetide.core.requests.outcomes import Outcome
 from sedgetide.core.requests.outcomes import Reason
 from sedgetide.daemons._assignmentwriter import AssignmentWriter
@@ -42,7 +42,7 @@
 from sedgetide.daemons._heartbeats import HeartbeatsOwner
 from sedgetide.daemons._inspection import Inspectable
 from sedgetide.daemons._metrics import CONFIGURATION_REVISION
-from sedgetide.daemons._storetask import StoreOwner
+from sedgetide.daemons._storetask import StoreListener
 from sedgetide.daemons._storetask import StoreTask
 from sedgetide.daemons._upstreamtask import UpstreamTask
 from sedgetide.links import Transport
@@ -60,8 +60,8 @@
     _log.warning("message dropped", extra={"kind": type(message).__name__})
 
 
-def _read_report(message: LossReport) -> Report:
-    return Report(
+def _read_report(message: LossReport) -> UpstreamReport:
+    return UpstreamReport(
         message.upstream,
         message.alive,
         dict(message.lost),
@@ -69,7 +69,7 @@
     )
 
 
-def _write_report(report: Report) -> LossReport:
+def _write_report(report: UpstreamReport) -> LossReport:
     return LossReport(
         report.upstream,
         report.alive,
@@ -78,7 +78,7 @@
     )
 
 
-class Control(HeartbeatsOwner, StoreOwner, Inspectable):
+class Control(HeartbeatsOwner, StoreListener, Inspectable):
     """Everything of a keeper but the work on single upstreams.
 
     Parameters
@@ -93,7 +93,7 @@
         self._settings = settings
         self._timing = settings.timing
         self._incarnation = incarnation
-        self._key = name_assignment(settings.data_centre)
+        self._key = build_assignment_key(settings.data_centre)
         self._member = Member(LinkAddress(settings.link), settings.admin)
         self._cache = RecordCache()
         self._tasks: dict[UpstreamName, UpstreamTask] = {}
@@ -169,7 +169,7 @@
             said.counting,
             said.store_age,
             said.store_revision,
-            said.store_away,
+            said.store_unavailable,
             self._view.leaving,
             introduction,
         )
@@ -224,7 +224,7 @@
             status.counting,
             status.store_age,
             status.store_revision,
-            status.store_away,
+            status.store_unavailable,
         )
         self._view.note_member_report(
             status.host, asked_at, said, time.monotonic()
@@ -264,7 +264,7 @@
                 },
             )
             return
-        self._view.take_text(text)
+        self._view.apply_configuration(text)
         CONFIGURATION_REVISION.set(record.revision)
 
     # The store
@@ -272,21 +272,21 @@
     def is_watching(self) -> bool:
         return self._view.is_watching(time.monotonic())
 
-    def take_records(self, records: list[Record]) -> None:
+    def handle_records(self, records: list[Record]) -> None:
         newer = self._heartbeats.apply(records)
         if newer:
             self._heartbeats.push(self._list_peers(), newer)
 
-    def take_proof(
+    def handle_proof(
         self, asked_at: float, revision: Revision, record: Record | None
     ) -> None:
         if record is not None:
-            self.take_records([record])
+            self.handle_records([record])
         self._view.authority.note_store(asked_at, revision)
         self._renew(time.monotonic())
 
-    def note_store_away(self, away: bool) -> None:
-        self._view.store_away = away
+    def set_store_unavailable(self, away: bool) -> None:
+        self._view.store_unavailable = away
 
     # The loop
 
--- a/sedgetide/daemons/_breaks.py
+++ b/sedgetide/daemons/_crashdetector.py
@@ -5,17 +5,17 @@
 import msgspec
 
 from sedgetide.core.identifiers import IncarnationName
-from sedgetide.core.membership.directory import Directory
 from sedgetide.core.membership.directory import RegisteredUpstream
-from sedgetide.core.requests.breaks import BrokenRun
-from sedgetide.core.requests.breaks import BrokenRuns
-from sedgetide.core.requests.breaks import EndedUpstream
-from sedgetide.core.requests.breaks import LossProof
+from sedgetide.core.membership.directory import UpstreamDirectory
+from sedgetide.core.requests.brokenruns import BrokenRun
+from sedgetide.core.requests.brokenruns import BrokenRuns
+from sedgetide.core.requests.brokenruns import EndedUpstream
+from sedgetide.core.requests.brokenruns import LossProof
 from sedgetide.daemons._hostmetrics import UPSTREAM_ENDS
-from sedgetide.daemons._job import Job
+from sedgetide.daemons._requestcontext import RequestContext
 from sedgetide.runtime.clock import read_clock
 from sedgetide.runtime.events import Event
-from sedgetide.runtime.events import tell
+from sedgetide.runtime.events import log_event
 from sedgetide.wire.messages import find_header
 from sedgetide.wire.probes import Presence
 from sedgetide.wire.probes import probe
@@ -35,28 +35,30 @@
     presence: Presence
 
 
-class BreakWatch:
+class CrashDetector:
     """Tells a crash from other reasons for a broken connection.
 
     Parameters
     ----------
-    directory : Directory
+    directory : UpstreamDirectory
         Upstreams as the registry shows them.
-    take_ended : callable
+    note_upstream_end : callable
         Called with each upstream that ended, and the time.
     """
 
     def __init__(
         self,
-        directory: Directory,
-        take_ended: Callable[[EndedUpstream, float], None],
+        directory: UpstreamDirectory,
+        note_upstream_end: Callable[[EndedUpstream, float], None],
     ) -> None:
         self._directory = directory
-        self._take_ended = take_ended
+        self._note_upstream_end = note_upstream_end
         self._runs = BrokenRuns()
         self._probed: dict[IncarnationName, _Probed] = {}
 
-    def note_broken(self, job: Job, upstream: RegisteredUpstream) -> None:
+    def note_broken(
+        self, job: RequestContext, upstream: RegisteredUpstream
+    ) -> None:
         """Find out what became of an upstream that broke off.
 
         An upstream that has announced its end is no crash.
@@ -67,7 +69,7 @@
         self._runs.note(upstream.name, _describe(job, now))
         if self._probe(upstream, now) is Presence.ENDED:
             self._conclude(
-                self._runs.conclude(upstream.name, LossProof.REFUSED)
+                self._runs.pop_ended(upstream.name, LossProof.REFUSED)
             )
 
     def _probe(self, upstream: RegisteredUpstream, now: float) -> Presence:
@@ -82,9 +84,9 @@
         """Take in that an upstream answered a request sent at a time."""
         self._runs.note_answer(upstream, began)
 
-    def keep(self, now: float) -> None:
+    def run_periodic(self, now: float) -> None:
         """Look for upstreams that the registry has dropped meanwhile."""
-        for ended in self._runs.take_withdrawn(self._directory, now):
+        for ended in self._runs.pop_withdrawn(self._directory, now):
             self._conclude(ended)
         self._probed = {
             name: each
@@ -97,7 +99,7 @@
             return
         for run in ended.runs:
             UPSTREAM_ENDS.labels(ended.proof.value).inc()
-            tell(
+            log_event(
                 Event.UPSTREAM_ENDED,
                 upstream=ended.upstream,
                 proof=ended.proof.value,
@@ -108,10 +110,10 @@
                 target=run.target,
                 beside=len(ended.runs) - 1,
             )
-        self._take_ended(ended, read_clock())
+        self._note_upstream_end(ended, read_clock())
 
 
-def _describe(job: Job, now: float) -> BrokenRun:
+def _describe(job: RequestContext, now: float) -> BrokenRun:
     request = job.request
     return BrokenRun(
         job.fields.request,
--- a/sedgetide/daemons/_knowledge.py
+++ b/sedgetide/daemons/_deployment.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from sedgetide.backends.dialects import Catalogue
-from sedgetide.backends.dialects import EvacuationWish
+from sedgetide.backends.dialects import EvacuationRequest
+from sedgetide.backends.dialects import RegistryDialect
 from sedgetide.backends.dialects import UnreadableEntry
-from sedgetide.backends.dialects import Withdrawn
+from sedgetide.backends.dialects import UpstreamWithdrawn
 from sedgetide.backends.leasestore import Item
 from sedgetide.backends.leasestore import Listing
 from sedgetide.coding.ranges import decode_ranges
@@ -20,27 +20,27 @@
 from sedgetide.core.identifiers import IncarnationName
 from sedgetide.core.identifiers import Key
 from sedgetide.core.identifiers import ServiceName
-from sedgetide.core.membership.directory import Directory
 from sedgetide.core.membership.directory import RegisteredUpstream
 from sedgetide.core.membership.directory import RETURN_GRACE
+from sedgetide.core.membership.directory import UpstreamDirectory
 from sedgetide.core.membership.evacuations import Evacuations
 from sedgetide.core.membership.lenders import LenderList
 from sedgetide.core.ownership.leadership import LeaderRecord
+from sedgetide.core.ownership.move_observations import MoveObservations
 from sedgetide.core.ownership.ranges import RangeTable
 from sedgetide.core.ownership.ranges import Tenure
-from sedgetide.core.ownership.sightings import MoveSightings
-from sedgetide.core.requests.cold import bound_cold_sends
+from sedgetide.core.requests.coldstart import compute_cold_send_limit
 from sedgetide.core.requests.pushback import Backoffs
 from sedgetide.core.requests.quarantine import Quarantine
 from sedgetide.core.requests.quarantine import QuarantineRecord
 from sedgetide.core.requests.ratelimits import KnownLimits
 from sedgetide.core.requests.routes import RouteTable
-from sedgetide.daemons._records import read_key
-from sedgetide.daemons._records import RecordName
+from sedgetide.daemons._recordkeys import parse_key
+from sedgetide.daemons._recordkeys import RecordKey
 from sedgetide.runtime.clock import read_clock
 from sedgetide.runtime.events import Event
-from sedgetide.runtime.events import tell
-from sedgetide.runtime.signals import Changes
+from sedgetide.runtime.events import log_event
+from sedgetide.runtime.signals import ChangeSignal
 
 _MOST_REMOVED = 2000
 
@@ -66,7 +66,7 @@
     position: Position = NO_POSITION
 
 
-class ColdTerms(msgspec.Struct, frozen=True):
+class ColdTolerance(msgspec.Struct, frozen=True):
     """What a deployment grants beyond a cold upstream's rate.
 
     Parameters
@@ -81,34 +81,34 @@
     slack: float = 0.0
 
 
-class Knowledge:
+class DeploymentState:
     """Policy, directory, owners and leader; never goes back in position.
 
     Parameters
     ----------
-    catalogue : Catalogue
+    catalogue : RegistryDialect
         Reads what others write.
     evacuations : Evacuations or None
         Data centres that get no new work, none yet.
-    cold_terms : ColdTerms or None
+    cold_terms : ColdTolerance or None
         Bound of what cold upstreams are sent; their rate alone when None.
     """
 
     def __init__(
         self,
-        catalogue: Catalogue,
+        catalogue: RegistryDialect,
         evacuations: Evacuations | None = None,
-        cold_terms: ColdTerms | None = None,
+        cold_terms: ColdTolerance | None = None,
     ) -> None:
-        self.directory = Directory(evacuations=evacuations)
-        self._cold_terms = cold_terms or ColdTerms()
+        self.directory = UpstreamDirectory(evacuations=evacuations)
+        self._cold_terms = cold_terms or ColdTolerance()
         self.policy: Policy | None = None
         self.routes: RouteTable | None = None
         self.tables: dict[ServiceName, KnownTable] = {}
         self._moved: dict[ServiceName, set[Tenure]] = {}
-        self._sightings: dict[ServiceName, MoveSightings] = {}
+        self._sightings: dict[ServiceName, MoveObservations] = {}
         self.leader: KnownLeader | None = None
-        self.changes = Changes()
+        self.changes = ChangeSignal()
         self.heard_at = float("-inf")
         self.hosts: int | None = None
         self.lenders = LenderList()
@@ -118,14 +118,14 @@
         self.recorded_quarantine = KnownQuarantine()
         self._catalogue = catalogue
         self._items: dict[str, Item] = {}
-        self._doubted: dict[str, EvacuationWish] = {}
+        self._doubted: dict[str, EvacuationRequest] = {}
         self._forgotten = NO_POSITION
         self.as_of = NO_POSITION
         self._era = FIRST_ERA
         self._era_since = float("-inf")
 
     @property
-    def follows_era(self) -> bool:
+    def has_listed_era(self) -> bool:
         """Whether the store has been listed since it came back last."""
         return self.as_of != NO_POSITION and self.as_of.era >= self._era
 
@@ -140,14 +140,14 @@
         if self.leader is not None and self.leader.position.era < era:
             self.leader = None
         self.recorded_quarantine = KnownQuarantine()
-        self.changes.announce()
+        self.changes.notify_all()
 
     def _begin_era(self, era: Era, now: float) -> None:
         if era > self._era or self.as_of == NO_POSITION:
             self._era = era
             self._era_since = now
 
-    def find_settled_at(self) -> float:
+    def find_reregistration_end(self) -> float:
         """Return when all that live have registered since the last return."""
         return self._era_since + RETURN_GRACE
 
@@ -159,7 +159,7 @@
         """
         self.hosts = max(self.hosts or 0, hosts)
 
-    def take_lenders(self, named: LenderList) -> None:
+    def set_lenders(self, named: LenderList) -> None:
         """Take in who lends places, as the leader says.
 
         A leader that is lost leaves its list in force: hosts do not ask
@@ -168,23 +168,27 @@
         if named == self.lenders:
             return
         self.lenders = named
-        tell(
+        log_event(
             Event.LENDERS,
             lenders=",".join(each.link for each in named.hosts),
             version=named.version,
         )
 
-    def note_heard(self, as_of: Position, heard_at: float) -> None:
+    def record_sync(self, as_of: Position, heard_at: float) -> None:
         """Take in that all is known up to a position, and since when."""
         self.as_of = max(self.as_of, as_of)
         self.heard_at = max(self.heard_at, heard_at)
 
-    def take_listing(self, listing: Listing, now: float) -> None:
+    def apply_listing(self, listing: Listing, now: float) -> None:
         """Take in everything that the store holds."""
         self._begin_era(listing.position.era, now)
-        copied = listing.position.era > self.as_of.era and bool(self._items)
-        if copied:
-            tell(Event.RELISTED, revision=listing.position, known=self.as_of)
+        from_backup = listing.position.era > self.as_of.era and bool(
+            self._items
+        )
+        if from_backup:
+            log_event(
+                Event.RELISTED, revision=listing.position, known=self.as_of
+            )
             self.directory.begin_era(now)
         present = {item.key for item in listing.items}
         gone = [
@@ -192,10 +196,10 @@
             for key, item in self._items.items()
             if key not in present and item.value is not None
         ]
-        self.take_items([*gone, *listing.items], now, copied)
+        self.apply_items([*gone, *listing.items], now, from_backup)
 
-    def take_items(
-        self, items: list[Item], now: float, copied: bool = False
+    def apply_items(
+        self, items: list[Item], now: float, from_backup: bool = False
     ) -> None:
         """Take in new versions; older ones than known change nothing.
 
@@ -214,11 +218,11 @@
             if known is not None and item.position <= known.position:
                 continue
             self._items[item.key] = item
-            self._take(item, now, copied)
+            self._take(item, now, from_backup)
             taken = True
         if taken:
             self._forget_removed()
-            self.changes.announce()
+            self.changes.notify_all()
 
     def _forget_removed(self) -> None:
         """Bound what is kept of keys that are gone."""
@@ -251,23 +255,23 @@
             item for item in self._items.values() if item.value is not None
         ]
 
-    def _take(self, item: Item, now: float, copied: bool) -> None:
+    def _take(self, item: Item, now: float, from_backup: bool) -> None:
         key = item.key
         try:
-            own = read_key(key)
+            own = parse_key(key)
             if own is None:
-                self._take_other(key, item.value, now, copied)
+                self._take_other(key, item.value, now, from_backup)
             else:
                 self._take_own(own, item.value, item.position, now)
         except UnreadableEntry as error:
-            self.directory.discredit(error.upstream, now)
-            tell(Event.ENTRY_REFUSED, key=key, problem=error.detail[:200])
+            self.directory.mark_unreadable(error.upstream, now)
+            log_event(Event.ENTRY_REFUSED, key=key, problem=error.detail[:200])
         except (InputError, msgspec.MsgspecError) as error:
-            tell(Event.RECORD_REFUSED, key=key, problem=error)
+            log_event(Event.RECORD_REFUSED, key=key, problem=error)
 
     def _take_own(
         self,
-        name: RecordName,
+        name: RecordKey,
         value: bytes | None,
         position: Position,
         now: float,
@@ -282,7 +286,7 @@
         elif name.service is not None and value is not None:
             # Owners are never removed; what is known stays the best guess.
             table = decode_ranges(value)
-            self.take_table(name.service, table, written_at, now)
+            self.update_table(name.service, table, written_at, now)
 
     def _take_leader(self, value: bytes | None, position: Position) -> None:
         if value is None:
@@ -291,7 +295,7 @@
             record = msgspec.json.decode(value, type=LeaderRecord)
             self.leader = KnownLeader(record, position)
         name = "" if self.leader is None else self.leader.record.host
-        tell(Event.LEADER, leader=name, revision=position)
+        log_event(Event.LEADER, leader=name, revision=position)
 
     def _take_quarantine(
         self,
@@ -307,7 +311,7 @@
             self.recorded_quarantine = KnownQuarantine(record, position)
         self.quarantine.take_record(record, now)
 
-    def take_table(
+    def update_table(
         self,
         service: ServiceName,
         table: RangeTable,
@@ -320,12 +324,14 @@
             return
         moved = self._moved.get(service, set()).intersection(table.tenures)
         self._moved[service] = moved
-        sightings = self._sightings.setdefault(service, MoveSightings())
+        sightings = self._sightings.setdefault(service, MoveObservations())
         sightings.note_table(table, now)
         self.tables[service] = KnownTable(table.complete(moved), position)
-        self.changes.announce()
+        self.changes.notify_all()
 
-    def take_moved(self, service: ServiceName, moved: list[Tenure]) -> None:
+    def complete_moves(
+        self, service: ServiceName, moved: list[Tenure]
+    ) -> None:
         """Take in that moves have ended, before the record says so.
 
         A move is known by its fence, so a late word of it changes nothing
@@ -338,48 +344,48 @@
         self.tables[service] = KnownTable(
             known.table.complete(moved), known.position
         )
-        self.changes.announce()
+        self.changes.notify_all()
 
     def _take_other(
-        self, key: str, value: bytes | None, now: float, copied: bool
+        self, key: str, value: bytes | None, now: float, from_backup: bool
     ) -> None:
         entry = self._catalogue.read(key, value)
         self._doubted.pop(key, None)
         if isinstance(entry, RegisteredUpstream):
             self._note_entry(entry)
-            self.directory.put(entry, now, copied)
-        elif isinstance(entry, Withdrawn):
-            tell(Event.UPSTREAM_WITHDRAWN, upstream=entry.upstream)
+            self.directory.put(entry, now, from_backup)
+        elif isinstance(entry, UpstreamWithdrawn):
+            log_event(Event.UPSTREAM_WITHDRAWN, upstream=entry.upstream)
             self.directory.remove(entry.upstream, now)
-        elif isinstance(entry, EvacuationWish) and copied:
+        elif isinstance(entry, EvacuationRequest) and from_backup:
             self._doubted[key] = entry
-        elif isinstance(entry, EvacuationWish):
+        elif isinstance(entry, EvacuationRequest):
             self._take_wish(entry, now)
         elif isinstance(entry, Policy):
             self._take_policy(entry)
 
-    def settle(self, now: float) -> None:
+    def apply_pending_evacuations(self, now: float) -> None:
         """Take in what a copy shows and nobody has written again since.
 
         Operators' last wishes hold until then: an evacuation that the copy
         does not know of would end for a moment, and one that was taken back
         would begin again.
         """
-        if self._doubted and now >= self.find_settled_at():
+        if self._doubted and now >= self.find_reregistration_end():
             doubted, self._doubted = self._doubted, {}
             for wish in doubted.values():
                 self._take_wish(wish, now)
-            self.changes.announce()
+            self.changes.notify_all()
 
-    def _take_wish(self, wish: EvacuationWish, now: float) -> None:
+    def _take_wish(self, wish: EvacuationRequest, now: float) -> None:
         evacuations = self.directory.evacuations
         if wish.asked:
-            if evacuations.ask(wish.data_centre, self.heard_at, now):
-                tell(Event.EVACUATION, data_centre=wish.data_centre)
+            if evacuations.start(wish.data_centre, self.heard_at, now):
+                log_event(Event.EVACUATION, data_centre=wish.data_centre)
             return
-        seconds = evacuations.take_back(wish.data_centre, now)
+        seconds = evacuations.cancel(wish.data_centre, now)
         if seconds is not None:
-            tell(
+            log_event(
                 Event.TAKEN_BACK,
                 data_centre=wish.data_centre,
                 seconds=f"{seconds:.1f}",
@@ -417,12 +423,12 @@
         if rate is None:
             return None
         terms = self._cold_terms
-        return bound_cold_sends(rate, terms.overrun, terms.slack)
+        return compute_cold_send_limit(rate, terms.overrun, terms.slack)
 
     def _note_entry(self, entry: RegisteredUpstream) -> None:
         known = self.directory.find(entry.name)
         if known is None or known.leaving != entry.leaving:
-            tell(
+            log_event(
                 Event.UPSTREAM,
                 upstream=entry.registered_name,
                 born=entry.born,
@@ -434,15 +440,15 @@
     def note_leaving(self, upstream: IncarnationName) -> None:
         """Take in an upstream's own word that it is about to end."""
         if self.directory.note_leaving(upstream):
-            tell(Event.LEAVING, upstream=upstream)
-            self.changes.announce()
+            log_event(Event.LEAVING, upstream=upstream)
+            self.changes.notify_all()
 
     def _take_policy(self, policy: Policy) -> None:
         if self.policy is not None and policy.version <= self.policy.version:
             return
         self.policy = policy
         self.routes = RouteTable(policy)
-        tell(
+        log_event(
             Event.POLICY,
             version=policy.version,
             routes=len(policy.routes),
@@ -456,7 +462,9 @@
             return float("inf")
         return sightings.find_known_since(tenure)
 
-    def find_moving(self, service: ServiceName, key: Key, now: float) -> float:
+    def find_move_age(
+        self, service: ServiceName, key: Key, now: float
+    ) -> float:
         """Return for how many seconds a key has been on its way."""
         table = self.find_table(service)
         sightings = self._sightings.get(service)
@@ -466,7 +474,7 @@
         first_seen = sightings.find_first_seen(tenure)
         return 0.0 if first_seen is None else now - first_seen
 
-    def find_table_of(
+    def find_table_in_era(
         self, service: ServiceName, era: Era
     ) -> RangeTable | None:
         """Return the owners as they were written in an era, or None."""
@@ -512,7 +520,7 @@
             "limits": self.limits.list_rates(),
             "leaving": self.directory.list_announced(),
             "backoffs": {
-                name: round(self.backoffs.find_left(name, now), 1)
+                name: round(self.backoffs.find_remaining(name, now), 1)
                 for name in sorted(backoffs)
             },
         }
--- a/sedgetide/daemons/_dispatcher.py
+++ b/sedgetide/daemons/_dispatcher.py
@@ -49,7 +49,7 @@
 from sedgetide.core.requests.outcomes import Outcome
 from sedgetide.core.requests.outcomes import Reason
 from sedgetide.core.requests.outcomes import TRANSIENT_REASONS
-from sedgetide.core.requests.outcomes import UNSURE_REASONS
+from sedgetide.core.requests.outcomes import UNCERTAIN_REASONS
 from sedgetide.core.requests.retries import RetryBudget
 from sedgetide.core.requests.routing import Match
 from sedgetide.core.requests.routing import Router
@@ -336,7 +336,7 @@
             # This attempt did not run, so the only cost is the wait for a
             # handover; any other refusal is final and goes back at once.
             return True
-        return response.reason in UNSURE_REASONS and budget.spend()
+        return response.reason in UNCERTAIN_REASONS and budget.spend()
 
     def _attempt(self, call: Call, declined: set[LinkAddress]) -> Response:
         target = self._find_target(call)
--- a/sedgetide/daemons/_campaign.py
+++ b/sedgetide/daemons/_election.py
@@ -14,20 +14,20 @@
 from sedgetide.core.errors import StoreError
 from sedgetide.core.history import NO_POSITION
 from sedgetide.core.ownership.leadership import Durations
-from sedgetide.core.ownership.leadership import find_yield
+from sedgetide.core.ownership.leadership import find_election_delay
 from sedgetide.core.ownership.leadership import LeaderRecord
 from sedgetide.core.ownership.leadership import Leadership
-from sedgetide.daemons._knowledge import Knowledge
-from sedgetide.daemons._records import make_leader_key
+from sedgetide.daemons._deployment import DeploymentState
+from sedgetide.daemons._recordkeys import make_leader_key
 from sedgetide.runtime.clock import read_clock
 from sedgetide.runtime.events import Event
-from sedgetide.runtime.events import tell
+from sedgetide.runtime.events import log_event
 
 _LONGEST_DELAY = 0.4
 _FRESH = 8.0
 
 
-class Campaign:
+class Election:
     """Holds the leader's record for this host, when it can.
 
     Parameters
@@ -38,7 +38,7 @@
         What is written.
     leadership : Leadership
         Whether this host leads.
-    knowledge : Knowledge
+    knowledge : DeploymentState
         Who leads, as the store told last.
     durations : Durations
         Life of the lease.
@@ -51,15 +51,15 @@
         store: LeaseStore,
         record: LeaderRecord,
         leadership: Leadership,
-        knowledge: Knowledge,
+        deployment: DeploymentState,
         durations: Durations,
         processors: float = 1.0,
     ) -> None:
         self._store = store
-        self._yield = find_yield(processors)
+        self._yield = find_election_delay(processors)
         self._record = record
         self._leadership = leadership
-        self._knowledge = knowledge
+        self._deployment = deployment
         self._durations = durations
         self._lease: LeaseId = NO_LEASE
         self._verified_at = float("-inf")
@@ -73,9 +73,9 @@
 
     def step(self, now: float) -> None:
         """Do what is due: stand, or prove to be leader still."""
-        if self._leadership.is_hopeless(now):
+        if self._leadership.is_certainly_lost(now):
             self._end("proof too old")
-        if self._leadership.outlived:
+        if self._leadership.era_ended:
             if not self._leadership.may_order(now):
                 self._end("the store has come back from a copy")
             return
@@ -92,13 +92,13 @@
         The delay differs from host to host, so that not all ask for a
         lease at once.
         """
-        silent = now - self._knowledge.heard_at >= _FRESH
-        if silent or not self._knowledge.follows_era:
+        silent = now - self._deployment.heard_at >= _FRESH
+        if silent or not self._deployment.has_listed_era:
             self._try_at = None
             return False
         if self._has_former_record():
             return self._try_at is None or now >= self._try_at
-        if self._knowledge.leader is not None:
+        if self._deployment.leader is not None:
             self._try_at = None
             return False
         if self._try_at is None:
@@ -114,7 +114,7 @@
         go dark. This process has bound the address at which the one in the
         record took its reports, so that one is gone.
         """
-        leader = self._knowledge.leader
+        leader = self._deployment.leader
         if leader is None or self._leadership.term != NO_POSITION:
             return False
         record = leader.record
@@ -126,11 +126,11 @@
 
     def _stand(self, now: float) -> None:
         self._try_at = now + self._random.uniform(0.5, 1.0)
-        era = self._knowledge.as_of.era
+        era = self._deployment.as_of.era
         key = make_leader_key(era)
         expected = NO_POSITION
         if self._has_former_record():
-            expected = self._knowledge.leader.position
+            expected = self._deployment.leader.position
         try:
             lease = self._store.open_lease(self._durations.lease)
             asked_at = read_clock()
@@ -141,16 +141,16 @@
             )
         except StoreConflict:
             # Ids of leases are given out again in a later era.
-            if self._knowledge.follows_era:
+            if self._deployment.has_listed_era:
                 self._drop_lease(lease)
             return
         except StoreError as error:
-            tell(Event.NOT_ELECTED, error=error)
+            log_event(Event.NOT_ELECTED, error=error)
             return
         self._lease = lease
         self._verified_at = asked_at
         self._leadership.begin(position, asked_at, read_clock())
-        tell(Event.LEADING, term=position)
+        log_event(Event.LEADING, term=position)
 
     def _drop_lease(self, lease: LeaseId) -> None:
         with contextlib.suppress(StoreError):
@@ -168,16 +168,16 @@
             self._store.renew_lease(self._lease)
             item = self._store.read(key)
         except LeaseEnded:
-            if not self._leadership.outlived:
+            if not self._leadership.era_ended:
                 self._end("lease ended")
             return
         except StoreError as error:
             age = read_clock() - asked_at
-            tell(Event.NOT_VERIFIED, error=error, age=f"{age:.2f}")
+            log_event(Event.NOT_VERIFIED, error=error, age=f"{age:.2f}")
             self._verified_at = asked_at - self._durations.verify / 2
             return
         self._verified_at = asked_at
-        if self._leadership.outlived:
+        if self._leadership.era_ended:
             return
         position = NO_POSITION if item is None else item.position
         if not self._leadership.note_read(position, asked_at):
@@ -186,13 +186,13 @@
     def _end(self, reason: str) -> None:
         self._leadership.end()
         self._lease = NO_LEASE
-        tell(Event.LEADING_NO_MORE, reason=reason)
+        log_event(Event.LEADING_NO_MORE, reason=reason)
 
     def resign(self) -> None:
         """Stop to lead, so that another host need not wait for the lease."""
         if self._leadership.term == NO_POSITION:
             return
-        lease = NO_LEASE if self._leadership.outlived else self._lease
+        lease = NO_LEASE if self._leadership.era_ended else self._lease
         self._end("resigned")
         if lease != NO_LEASE:
             self._drop_lease(lease)
--- a/sedgetide/daemons/_evacuations.py
+++ b/sedgetide/daemons/_evacuationcoordinator.py
@@ -3,32 +3,32 @@
 from sedgetide.core.identifiers import DataCentre
 from sedgetide.core.identifiers import IncarnationName
 from sedgetide.core.identifiers import ServiceName
-from sedgetide.core.ownership.evacuation import EvacuationPace
+from sedgetide.core.ownership.evacuation import EvacuationPacer
 from sedgetide.core.ownership.ranges import RangeTable
-from sedgetide.daemons._knowledge import Knowledge
+from sedgetide.daemons._deployment import DeploymentState
 from sedgetide.runtime.events import Event
-from sedgetide.runtime.events import tell
+from sedgetide.runtime.events import log_event
 
 
-class EvacuationDesk:
+class EvacuationCoordinator:
     """Paces evacuations, and says when a data centre is empty.
 
     Parameters
     ----------
-    knowledge : Knowledge
+    knowledge : DeploymentState
         Wishes of the operators, and owners.
     """
 
-    def __init__(self, knowledge: Knowledge) -> None:
-        self._knowledge = knowledge
-        self._paces: dict[ServiceName, EvacuationPace] = {}
+    def __init__(self, deployment: DeploymentState) -> None:
+        self._deployment = deployment
+        self._paces: dict[ServiceName, EvacuationPacer] = {}
         self._known_since: dict[DataCentre, float] = {}
         self._empty: set[DataCentre] = set()
 
     def list_owners(self, table: RangeTable) -> set[IncarnationName]:
         """Return the owners that have to give up all they own."""
-        directory = self._knowledge.directory
-        if not directory.evacuations.list_asked():
+        directory = self._deployment.directory
+        if not directory.evacuations.list_evacuating():
             return set()
         owners = {each.owner for each in table.tenures}
         return {each for each in owners if directory.is_evacuated(each)}
@@ -46,16 +46,16 @@
             for each in table.tenures
             if each.owner in owners and not each.moving
         )
-        directory = self._knowledge.directory
+        directory = self._deployment.directory
         serving = all(
             directory.find_serving(each, now) is not None for each in owners
         )
-        pace = self._paces.setdefault(service, EvacuationPace())
+        pace = self._paces.setdefault(service, EvacuationPacer())
         return pace.allow(left, serving, now)
 
-    def keep(self, now: float) -> None:
+    def run_periodic(self, now: float) -> None:
         """Tell once of each evacuated data centre that it is empty."""
-        asked = self._knowledge.directory.evacuations.list_asked()
+        asked = self._deployment.directory.evacuations.list_evacuating()
         self._empty.intersection_update(asked)
         for name in list(self._known_since):
             if name not in asked:
@@ -64,15 +64,15 @@
             since = self._known_since.setdefault(name, now)
             if name not in self._empty and not self._owns_keys(name):
                 self._empty.add(name)
-                tell(
+                log_event(
                     Event.EVACUATED,
                     data_centre=name,
                     seconds=f"{now - since:.1f}",
                 )
 
     def _owns_keys(self, data_centre: DataCentre) -> bool:
-        directory = self._knowledge.directory
-        for known in self._knowledge.tables.values():
+        directory = self._deployment.directory
+        for known in self._deployment.tables.values():
             for each in known.table.tenures:
                 for name in (each.owner, each.successor):
                     entry = directory.find(name)
--- a/sedgetide/daemons/_feed.py
+++ b/sedgetide/daemons/_feed.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from sedgetide.backends.eras import EraWatch
+from sedgetide.backends.eras import EraTracker
 from sedgetide.backends.leasestore import Item
 from sedgetide.backends.leasestore import Listing
 from sedgetide.coding.messages import Patch
@@ -19,9 +19,9 @@
 from sedgetide.core.history import NO_POSITION
 from sedgetide.core.history import Position
 from sedgetide.core.identifiers import LinkAddress
-from sedgetide.daemons._knowledge import Knowledge
-from sedgetide.daemons._patches import apply_patch
-from sedgetide.daemons._patches import PatchBook
+from sedgetide.daemons._deployment import DeploymentState
+from sedgetide.daemons._itempatches import apply_patch
+from sedgetide.daemons._itempatches import PatchCache
 
 FEED_LIFE = 1.0
 _SUBSCRIBER_LIFE = 3.0
@@ -50,12 +50,12 @@
     return any(len(item.value or b"") > _LARGE_BYTES for item in items)
 
 
-class FeedSource:
+class FeedPublisher:
     """The leader's side.
 
     Parameters
     ----------
-    knowledge : Knowledge
+    knowledge : DeploymentState
         What is passed on.
     send : callable
         Sends a message to a host.
@@ -63,13 +63,13 @@
 
     def __init__(
         self,
-        knowledge: Knowledge,
+        deployment: DeploymentState,
         send: Callable[[LinkAddress, StoreFeed], None],
     ) -> None:
-        self._knowledge = knowledge
+        self._deployment = deployment
         self._send = send
         self._subscribers: dict[LinkAddress, _Subscriber] = {}
-        self._book = PatchBook()
+        self._book = PatchCache()
         self._told: dict[LinkAddress, float] = {}
         self._behind: dict[LinkAddress, float] = {}
         self._large_at = float("-inf")
@@ -89,13 +89,13 @@
         The store turns it away, else it would have listed it by then; it
         learns from nobody else who leads now.
         """
-        if position.era >= self._knowledge.as_of.era:
+        if position.era >= self._deployment.as_of.era:
             self._behind.pop(link, None)
             return
         since = self._behind.setdefault(link, now)
         if now - since >= _READING:
             subscriber = _Subscriber(now, NO_POSITION)
-            items = self._knowledge.list_present()
+            items = self._deployment.list_present()
             self._pass_on(link, subscriber, items, [], now)
 
     def publish(self, now: float) -> None:
@@ -104,19 +104,19 @@
             if now - subscriber.heard_at > _SUBSCRIBER_LIFE:
                 del self._subscribers[link]
                 self._told.pop(link, None)
-            elif subscriber.position < self._knowledge.as_of:
+            elif subscriber.position < self._deployment.as_of:
                 self._feed(link, subscriber, now)
 
     def _feed(
         self, link: LinkAddress, subscriber: _Subscriber, now: float
     ) -> None:
         known = subscriber.position
-        if known.era > self._knowledge.as_of.era:
+        if known.era > self._deployment.as_of.era:
             return
-        if known.era < self._knowledge.as_of.era:
+        if known.era < self._deployment.as_of.era:
             self._feed_all(link, subscriber, now)
             return
-        items = self._knowledge.list_newer(known)
+        items = self._deployment.list_newer(known)
         if items is None:
             # It is too far behind; without the feed it lists the store.
             return
@@ -131,7 +131,7 @@
         """Tell a host that knows an earlier era all there is in this one."""
         if self._may_send_large(link, now):
             subscriber.position = NO_POSITION
-            items = self._knowledge.list_present()
+            items = self._deployment.list_present()
             self._pass_on(link, subscriber, items, [], now)
 
     def _pass_on(
@@ -142,16 +142,16 @@
         patches: list[Patch],
         now: float,
     ) -> None:
-        age = now - self._knowledge.heard_at
+        age = now - self._deployment.heard_at
         if age > _OLDEST:
             return
-        disturbed = self._knowledge.directory.find_disturbance(now)
-        as_of = self._knowledge.as_of
+        distrust_seconds = self._deployment.directory.find_outage_grace(now)
+        as_of = self._deployment.as_of
         message = StoreFeed(
             subscriber.position,
             as_of,
             age,
-            disturbed,
+            distrust_seconds,
             whole,
             self._count(),
             patches,
@@ -195,11 +195,11 @@
     def _count(self) -> int:
         """Return how many hosts there are, and remember it."""
         hosts = len(self._subscribers) + 1
-        self._knowledge.note_hosts(hosts)
+        self._deployment.note_hosts(hosts)
         return hosts
 
     def _send_to_store(self, link: LinkAddress) -> None:
-        as_of = self._knowledge.as_of
+        as_of = self._deployment.as_of
         self._send(link, StoreFeed(as_of, as_of, ENDED, 0.0, []))
 
     def list_links(self, now: float) -> list[LinkAddress]:
@@ -218,26 +218,26 @@
         self._told.clear()
 
 
-class FeedSink:
+class FeedReceiver:
     """A host's side.
 
     Parameters
     ----------
-    knowledge : Knowledge
+    knowledge : DeploymentState
         What is kept up to date.
-    eras : EraWatch
+    eras : EraTracker
         Told of eras that the leader has heard of.
     """
 
-    def __init__(self, knowledge: Knowledge, eras: EraWatch) -> None:
-        self._knowledge = knowledge
+    def __init__(self, deployment: DeploymentState, eras: EraTracker) -> None:
+        self._deployment = deployment
         self._eras = eras
         self._fresh_at = float("-inf")
 
     def take(self, message: StoreFeed, now: float) -> None:
         """Take in what the leader passed on."""
         if message.hosts:
-            self._knowledge.note_hosts(message.hosts)
+            self._deployment.note_hosts(message.hosts)
         if message.age > _OLDEST:
             self._fresh_at = float("-inf")
             return
@@ -249,15 +249,17 @@
             # It has another version than the leader thinks: ask the store.
             self._fresh_at = float("-inf")
             return
-        if message.disturbed > 0:
-            self._knowledge.directory.note_disturbance(now, message.disturbed)
+        if message.distrust_seconds > 0:
+            self._deployment.directory.note_registry_outage(
+                now, message.distrust_seconds
+            )
         items = [*message.items, *patched]
-        if message.as_of.era > self._knowledge.as_of.era:
+        if message.as_of.era > self._deployment.as_of.era:
             listing = Listing(items, message.as_of)
-            self._knowledge.take_listing(listing, now)
+            self._deployment.apply_listing(listing, now)
         else:
-            self._knowledge.take_items(items, now)
-        self._knowledge.note_heard(message.as_of, now - message.age)
+            self._deployment.apply_items(items, now)
+        self._deployment.record_sync(message.as_of, now - message.age)
         self._fresh_at = now
 
     def _continues(self, message: StoreFeed) -> bool:
@@ -266,7 +268,7 @@
         One may have been lost, and a leader may not have heard yet that its
         era is over. Of a later era all that there is has to be told first.
         """
-        known = self._knowledge.as_of
+        known = self._deployment.as_of
         if message.as_of.era != known.era:
             later = message.as_of.era > known.era
             return later and message.since == NO_POSITION
@@ -276,7 +278,7 @@
         """Return the patched items; None when one does not fit."""
         patched = []
         for patch in patches:
-            base = self._knowledge.find_item(patch.key)
+            base = self._deployment.find_item(patch.key)
             if base is not None and base.position >= patch.position:
                 continue
             item = apply_patch(base, patch)
--- a/sedgetide/daemons/_frontend.py
+++ b/sedgetide/daemons/_frontend.py
@@ -12,7 +12,7 @@
 from prometheus_client import Histogram
 
 from sedgetide.backends._connection import is_hop_header
-from sedgetide.backends.httpupstream import OWN_PREFIX
+from sedgetide.backends.httpupstream import RESERVED_HEADER_PREFIX
 from sedgetide.coding.messages import Response
 from sedgetide.coding.settings import Limits
 from sedgetide.core.identifiers import OperationId
@@ -49,7 +49,7 @@
 _log = logging.getLogger(__name__)
 
 
-class TargetHandler(WSGIHandler):
+class RawTargetHandler(WSGIHandler):
     """Keeps the request target as sent, which WSGI itself decodes."""
 
     def get_environ(self) -> dict[str, Any]:
@@ -73,7 +73,7 @@
     if not variable.startswith("HTTP_"):
         return None
     name = variable[5:].replace("_", "-").title()
-    if is_hop_header(name) or name.lower().startswith(OWN_PREFIX):
+    if is_hop_header(name) or name.lower().startswith(RESERVED_HEADER_PREFIX):
         return None
     return name
 
--- a/sedgetide/daemons/_heartbeats.py
+++ b/sedgetide/daemons/_heartbeats.py
@@ -80,14 +80,14 @@
         status = self._owner.make_status(now)
         for address in addresses:
             first = self._note_question(address, now)
-            unheard = min(
+            silent_seconds = min(
                 self.liveness.measure_silence(address, now), now - first
             )
-            if unheard <= self._timing.silence:
-                unheard = 0
+            if silent_seconds <= self._timing.silence:
+                silent_seconds = 0
             else:
                 self._transport.redial(address, 2 * self._timing.silence)
-            self._transport.send(address, Ping(now, unheard, status))
+            self._transport.send(address, Ping(now, silent_seconds, status))
 
     def _note_question(self, address: LinkAddress, now: float) -> float:
         """Return since when a peer has been asked without a break."""
@@ -151,7 +151,7 @@
         return newer
 
     def _answer(self, ping: Ping, address: LinkAddress, now: float) -> None:
-        if ping.unheard > self._timing.silence:
+        if ping.silent_seconds > self._timing.silence:
             # The way back may be the one that is silent, and only the
             # sender of the ping can notice it.
             self._transport.redial(address, 2 * self._timing.silence)
--- a/sedgetide/daemons/_countedstore.py
+++ b/sedgetide/daemons/_instrumentedstore.py
@@ -28,7 +28,7 @@
     return answer
 
 
-class CountedStore(LeaseStore):
+class InstrumentedStore(LeaseStore):
     """Passes every call on and counts it by what came of it.
 
     Parameters
--- a/sedgetide/daemons/_patches.py
+++ b/sedgetide/daemons/_itempatches.py
@@ -26,7 +26,7 @@
     return older[-1] if older else None
 
 
-class PatchBook:
+class PatchCache:
     """The last versions of items, and the patches between them.
 
     A patch is made once, however many hosts get it.
--- a/sedgetide/daemons/_leader.py
+++ b/sedgetide/daemons/_leader.py
@@ -23,42 +23,42 @@
 from sedgetide.core.identifiers import LinkAddress
 from sedgetide.core.identifiers import ServiceName
 from sedgetide.core.membership.directory import RegisteredUpstream
+from sedgetide.core.membership.lenders import HostStatus
+from sedgetide.core.membership.lenders import LenderSelector
 from sedgetide.core.membership.lenders import LendingHost
-from sedgetide.core.membership.lenders import Roster
-from sedgetide.core.membership.lenders import Standing
-from sedgetide.core.ownership.balance import bound_moves
 from sedgetide.core.ownership.balance import count_empty
+from sedgetide.core.ownership.balance import EligibleUpstream
+from sedgetide.core.ownership.balance import max_concurrent_moves
 from sedgetide.core.ownership.balance import plan_balance
+from sedgetide.core.ownership.balance import plan_consolidation
 from sedgetide.core.ownership.balance import plan_evictions
-from sedgetide.core.ownership.balance import plan_tidying
-from sedgetide.core.ownership.balance import Taker
 from sedgetide.core.ownership.evacuation import plan_evacuation
 from sedgetide.core.ownership.leadership import Durations
 from sedgetide.core.ownership.leadership import Leadership
-from sedgetide.core.ownership.limits import LimitBook
-from sedgetide.core.ownership.load import LoadBook
+from sedgetide.core.ownership.limits import LimitTracker
+from sedgetide.core.ownership.load import LoadTracker
 from sedgetide.core.ownership.ranges import Move
 from sedgetide.core.ownership.ranges import RangeTable
 from sedgetide.core.ownership.ranges import Tenure
 from sedgetide.core.ownership.smoothing import smooth_rates
 from sedgetide.core.ownership.terms import Term
 from sedgetide.core.requests.health import FIRST_GUESS
-from sedgetide.daemons._campaign import Campaign
-from sedgetide.daemons._evacuations import EvacuationDesk
-from sedgetide.daemons._feed import FeedSource
+from sedgetide.daemons._deployment import DeploymentState
+from sedgetide.daemons._election import Election
+from sedgetide.daemons._evacuationcoordinator import EvacuationCoordinator
+from sedgetide.daemons._feed import FeedPublisher
 from sedgetide.daemons._hostmetrics import RANGES
 from sedgetide.daemons._hostmetrics import RANGES_MOVING
-from sedgetide.daemons._knowledge import Knowledge
-from sedgetide.daemons._orderdesk import OrderDesk
-from sedgetide.daemons._orderdesk import OrderLanes
+from sedgetide.daemons._orderexecutor import OrderClients
+from sedgetide.daemons._orderexecutor import OrderExecutor
 from sedgetide.daemons._quarantinerecord import QuarantineWriter
-from sedgetide.daemons._records import make_leader_key
-from sedgetide.daemons._records import make_ranges_key
-from sedgetide.daemons._records import make_ranges_prefix
-from sedgetide.daemons._recoverydesk import RecoveryDesk
+from sedgetide.daemons._recordkeys import make_leader_key
+from sedgetide.daemons._recordkeys import make_ranges_key
+from sedgetide.daemons._recordkeys import make_ranges_prefix
+from sedgetide.daemons._recoverycoordinator import RecoveryCoordinator
 from sedgetide.runtime.clock import read_clock
 from sedgetide.runtime.events import Event
-from sedgetide.runtime.events import tell
+from sedgetide.runtime.events import log_event
 from sedgetide.runtime.tasks import spawn_vital
 
 _TICK = 0.1
@@ -87,11 +87,11 @@
     ----------
     store : LeaseStore
         Its own client.
-    knowledge : Knowledge
+    knowledge : DeploymentState
         What is known of the deployment.
     dialect : OrderDialect
         Form of the orders.
-    campaign : Campaign
+    campaign : Election
         Holds the leader's record.
     leadership : Leadership
         Whether this host leads.
@@ -106,9 +106,9 @@
     def __init__(
         self,
         store: LeaseStore,
-        knowledge: Knowledge,
+        deployment: DeploymentState,
         dialect: OrderDialect,
-        campaign: Campaign,
+        campaign: Election,
         leadership: Leadership,
         durations: Durations,
         send: Callable[[LinkAddress, Message], None],
@@ -116,22 +116,22 @@
     ) -> None:
         self._store = store
         self._send = send
-        self._feed = FeedSource(knowledge, send)
-        self._stays = QuarantineWriter(store, knowledge)
+        self._feed = FeedPublisher(deployment, send)
+        self._stays = QuarantineWriter(store, deployment)
         self._stopped_at = float("-inf")
-        self._knowledge = knowledge
+        self._deployment = deployment
         self._campaign = campaign
         self._leadership = leadership
         self._durations = durations
         self._position = NO_POSITION
-        self._lanes = OrderLanes(dialect, durations.order_timeout)
+        self._lanes = OrderClients(dialect, durations.order_timeout)
         self._desk = self._open_desk()
         self._recovery = self._open_recovery()
-        self._book = LoadBook()
-        self._limits = LimitBook()
-        self._evacuations = EvacuationDesk(knowledge)
+        self._book = LoadTracker()
+        self._limits = LimitTracker()
+        self._evacuations = EvacuationCoordinator(deployment)
         self._own = own
-        self._roster = Roster(knowledge.lenders, float("-inf"), own)
+        self._roster = LenderSelector(deployment.lenders, float("-inf"), own)
         self._balanced_at = float("-inf")
         self._adopted = False
         self._resigned = False
@@ -170,13 +170,13 @@
         elif sender is not None:
             self._feed.tell_era(sender, report.position, now)
         for upstream in report.leaving:
-            self._knowledge.note_leaving(upstream)
+            self._deployment.note_leaving(upstream)
         self._limits.note(report.limits, now)
         self._book.note_keys(report.keys, now)
         self._book.note_upstreams(report.upstreams, now)
 
     def _name_lenders(
-        self, sender: LinkAddress, standing: Standing, now: float
+        self, sender: LinkAddress, standing: HostStatus, now: float
     ) -> None:
         self._roster.note(sender, standing, now)
         lenders = self._roster.lenders
@@ -205,13 +205,15 @@
             self._campaign.step(read_clock())
             if self._leadership.term != term:
                 # The loop that leads waits for news meanwhile.
-                self._knowledge.changes.announce()
+                self._deployment.changes.notify_all()
             busy = self.leading or self._campaign.waiting
-            self._knowledge.changes.wait(_TICK if busy else _IDLE_TICK)
+            self._deployment.changes.wait(_TICK if busy else _IDLE_TICK)
 
     def _loop(self) -> None:
         while True:
-            self._lanes.note_addresses(self._knowledge.directory, read_clock())
+            self._lanes.note_addresses(
+                self._deployment.directory, read_clock()
+            )
             position = self._leadership.term
             if position != self._position:
                 self._begin_term(position)
@@ -219,12 +221,12 @@
             if self._may_lead() and self._has_adopted():
                 self._lead()
             tick = _TICK if self.leading else _IDLE_TICK
-            self._knowledge.changes.wait(tick)
+            self._deployment.changes.wait(tick)
 
     def _may_lead(self) -> bool:
         """Tell whether owners may be changed, and not only kept."""
         ordering = self._leadership.may_order(read_clock())
-        return ordering and not self._leadership.outlived
+        return ordering and not self._leadership.era_ended
 
     def _bridge_loop(self) -> None:
         """Act at once when the store falls silent.
@@ -243,7 +245,7 @@
                 continue
             hold = self._leadership.choose_hold(now)
             if hold > last:
-                tell(Event.BRIDGING, hold=hold)
+                log_event(Event.BRIDGING, hold=hold)
                 self._desk.renew_all()
             last = hold
 
@@ -253,17 +255,19 @@
         else:
             self._feed.end()
 
-    def _open_desk(self) -> OrderDesk:
-        return OrderDesk(
+    def _open_desk(self) -> OrderExecutor:
+        return OrderExecutor(
             Term(self._leadership, self._durations),
-            self._knowledge,
+            self._deployment,
             self._lanes,
             self._durations,
             self._spread,
         )
 
-    def _open_recovery(self) -> RecoveryDesk:
-        return RecoveryDesk(self._desk.term, self._knowledge, self._lanes)
+    def _open_recovery(self) -> RecoveryCoordinator:
+        return RecoveryCoordinator(
+            self._desk.term, self._deployment, self._lanes
+        )
 
     def _begin_term(self, position: Position) -> None:
         self._desk.close()
@@ -271,7 +275,9 @@
         self._position = position
         self._desk = self._open_desk()
         self._recovery = self._open_recovery()
-        self._roster = Roster(self._knowledge.lenders, read_clock(), self._own)
+        self._roster = LenderSelector(
+            self._deployment.lenders, read_clock(), self._own
+        )
         self._adopted = False
 
     def _has_adopted(self) -> bool:
@@ -285,44 +291,44 @@
                 self._adopt_tables()
                 self._adopted = True
             except StoreError as error:
-                tell(Event.TABLES_UNREAD, error=error)
+                log_event(Event.TABLES_UNREAD, error=error)
         return self._adopted
 
     def _adopt_tables(self) -> None:
         """Read what earlier leaders have written, to the last change."""
         listing = self._store.list(make_ranges_prefix(self._position.era))
-        self._knowledge.take_items(listing.items, read_clock())
+        self._deployment.apply_items(listing.items, read_clock())
 
     # Leading
 
     def _lead(self) -> None:
         now = read_clock()
-        if self._knowledge.policy is None:
+        if self._deployment.policy is None:
             return
         self._desk.term.prune(now)
-        self._knowledge.directory.expire(now)
-        self._stays.keep(self._position, now)
-        self._evacuations.keep(now)
+        self._deployment.directory.expire(now)
+        self._stays.run_periodic(self._position, now)
+        self._evacuations.run_periodic(now)
         balance = now - self._balanced_at >= _BALANCE_EVERY
         if balance:
             self._balanced_at = now
             self._forget_gone(now)
             self._choose_lenders(now)
-        for service in self._knowledge.policy.list_keyed():
+        for service in self._deployment.policy.list_keyed():
             self._lead_service(service, balance, now)
 
     def _choose_lenders(self, now: float) -> None:
         keyed = [
             each
-            for service in self._knowledge.policy.list_keyed()
-            for each in self._knowledge.directory.list_active(service)
+            for service in self._deployment.policy.list_keyed()
+            for each in self._deployment.directory.list_active(service)
         ]
         all_active = [
             each
-            for service in self._knowledge.policy.services
-            for each in self._knowledge.directory.list_active(service)
+            for service in self._deployment.policy.services
+            for each in self._deployment.directory.list_active(service)
         ]
-        self._knowledge.take_lenders(
+        self._deployment.set_lenders(
             self._roster.choose(keyed, now, all_active)
         )
 
@@ -332,8 +338,8 @@
             # Whoever has left may hold keys of an earlier era, and has to be
             # asked for them.
             return
-        known = {each.name for each in self._knowledge.directory.list_all()}
-        for each in self._knowledge.tables.values():
+        known = {each.name for each in self._deployment.directory.list_all()}
+        for each in self._deployment.tables.values():
             known.update(tenure.owner for tenure in each.table.tenures)
         self._book.forget(known)
         self._lanes.forget(known)
@@ -343,15 +349,15 @@
         """Tell whether the owners of all keys are known in this era."""
         era = self._position.era
         return all(
-            self._knowledge.find_table_of(service, era) is not None
-            for service in self._knowledge.policy.list_keyed()
+            self._deployment.find_table_in_era(service, era) is not None
+            for service in self._deployment.policy.list_keyed()
         )
 
     def _lead_service(
         self, service: ServiceName, balance: bool, now: float
     ) -> None:
         era = self._position.era
-        table = self._knowledge.find_table_of(service, era)
+        table = self._deployment.find_table_in_era(service, era)
         if table is None:
             table = self._recovery.begin_table(service)
             if table is None:
@@ -368,7 +374,7 @@
         """Write the first owners of an era of the store."""
         owners = {
             each.name
-            for each in self._knowledge.directory.list_active(service)
+            for each in self._deployment.directory.list_active(service)
         }
         if owners:
             self._write(service, table.restart(table.fence, owners))
@@ -381,7 +387,7 @@
         now: float,
     ) -> RangeTable:
         """Return the next table, or the same one when it is right."""
-        directory = self._knowledge.directory
+        directory = self._deployment.directory
         # An entry that comes back late shows an upstream that has ended, at
         # the address of another: ranges given to it stay dark until the
         # entry lapses, 2.6 s at a heartbeat of 0.87 s.
@@ -406,7 +412,7 @@
             table = joined
             self._stopped_at = now
         if moves:
-            tell(
+            log_event(
                 Event.MOVES,
                 service=service,
                 moves=" ".join(
@@ -425,8 +431,8 @@
         balance: bool,
         now: float,
     ) -> list[Move]:
-        takers = {
-            each.name: Taker(
+        eligible = {
+            each.name: EligibleUpstream(
                 each.name,
                 self._find_capacity(each, now),
                 self._book.find_slowness(each.name, now),
@@ -436,7 +442,7 @@
         evacuated = self._evacuations.list_owners(table)
         leaving = self._evacuations.allow(service, table, evacuated, now)
         lost = any(
-            each.owner not in takers and each.owner not in evacuated
+            each.owner not in eligible and each.owner not in evacuated
             for each in table.tenures
         )
         rates: dict[Key, float] = {}
@@ -445,13 +451,13 @@
             # ten times a second.
             views = self._book.list_views(service, now)
             rates = smooth_rates(views, table.tenures)
-        moves = plan_evictions(table, takers, rates, evacuated)
-        moves += plan_evacuation(table, takers, rates, evacuated, leaving)
+        moves = plan_evictions(table, eligible, rates, evacuated)
+        moves += plan_evacuation(table, eligible, rates, evacuated, leaving)
         for tenure in self._desk.take_fenced(service):
             # Its fence was passed by; the same owner goes on at a new one.
-            if tenure in table.tenures and tenure.owner in takers:
+            if tenure in table.tenures and tenure.owner in eligible:
                 moves.append(Move(tenure.keys, tenure.owner))
-                tell(
+                log_event(
                     Event.FENCE_RENEWED,
                     service=service,
                     upstream=tenure.owner,
@@ -462,11 +468,15 @@
         began = self._book.began_at
         ready = began is not None and now - began >= _FIRST_BALANCE
         if not moves and balance and ready:
-            empty = count_empty(table, takers)
-            room = bound_moves(len(takers), empty) - len(table.list_moving())
-            moves = plan_balance(table, takers, rates, max(0, room))
+            empty = count_empty(table, eligible)
+            room = max_concurrent_moves(len(eligible), empty) - len(
+                table.list_moving()
+            )
+            moves = plan_balance(table, eligible, rates, max(0, room))
             if not moves:
-                moves = plan_tidying(table, takers, rates, max(0, room))
+                moves = plan_consolidation(
+                    table, eligible, rates, max(0, room)
+                )
         return moves
 
     def _find_capacity(
@@ -474,7 +484,7 @@
     ) -> float:
         """Return the slots' worth of work that an upstream bears now."""
         rates = (
-            self._knowledge.find_cold_rate(upstream, now),
+            self._deployment.find_cold_rate(upstream, now),
             self._limits.find(upstream.name, now),
         )
         rate = min((each for each in rates if each is not None), default=None)
@@ -485,7 +495,7 @@
 
     def _write(self, service: ServiceName, table: RangeTable) -> bool:
         era = self._position.era
-        known = self._knowledge.tables.get(service)
+        known = self._deployment.tables.get(service)
         position = NO_POSITION
         if known is not None and known.position.era == era:
             position = known.position
@@ -497,15 +507,17 @@
                 [Write(key, encode_ranges(table))],
             )
         except StoreConflict:
-            tell(Event.TABLE_UNWRITTEN, service=service, error="overtaken")
+            log_event(
+                Event.TABLE_UNWRITTEN, service=service, error="overtaken"
+            )
             self._reread()
             return False
         except StoreError as error:
-            tell(Event.TABLE_UNWRITTEN, service=service, error=error)
+            log_event(Event.TABLE_UNWRITTEN, service=service, error=error)
             self._reread()
             return False
-        self._knowledge.take_table(service, table, written, read_clock())
-        tell(
+        self._deployment.update_table(service, table, written, read_clock())
+        log_event(
             Event.TABLE_WRITTEN,
             service=service,
             revision=written,
@@ -528,6 +540,6 @@
         Writing it down at once would wake every host's watch; who misses
         the message learns it from the next version of the record.
         """
-        self._knowledge.take_moved(service, [tenure])
+        self._deployment.complete_moves(service, [tenure])
         for link in self._feed.list_links(read_clock()):
             self._send(link, Moved(service, [tenure]))
--- a/sedgetide/daemons/_reporter.py
+++ b/sedgetide/daemons/_loadreporter.py
@@ -114,7 +114,7 @@
         """Hand a report over."""
 
 
-class Reporter:
+class LoadReporter:
     """Sends what was counted at short intervals.
 
     Parameters
--- a/sedgetide/daemons/_logs.py
+++ b/sedgetide/daemons/_logs.py
@@ -33,14 +33,14 @@
     return '"' + escaped.replace("\n", "\\n") + '"'
 
 
-def format_pairs(event: dict[str, Any], **_: Any) -> str:
+def format_logfmt(event: dict[str, Any], **_: Any) -> str:
     """Return an event as one line of key=value pairs.
 
     Takes the place of ``json.dumps`` in the library's formatter.
 
     Examples
     --------
-    >>> format_pairs({"event": "shard moved", "epoch": 3})
+    >>> format_logfmt({"event": "shard moved", "epoch": 3})
     'event="shard moved" epoch=3'
     """
     return " ".join(
@@ -48,7 +48,7 @@
     )
 
 
-class LineBound:
+class LineRateLimit:
     """How many lines may be written, and which are left out above that.
 
     Answered requests are left out first; the last third of each second's
@@ -108,11 +108,11 @@
     ----------
     descriptor : int
         Where to write; made non-blocking.
-    bound : LineBound
+    bound : LineRateLimit
         How many lines.
     """
 
-    def __init__(self, descriptor: int, bound: LineBound) -> None:
+    def __init__(self, descriptor: int, bound: LineRateLimit) -> None:
         super().__init__()
         self._descriptor = descriptor
         self._bound = bound
@@ -188,12 +188,12 @@
             "message": "event",
         },
         static_fields={"host": host, "program": program},
-        json_serializer=format_pairs,
+        json_serializer=format_logfmt,
     )
 
 
 def configure_logging(level: str, host: str, program: str) -> None:
     """Send all logs to standard output as key=value lines."""
-    handler = BoundedHandler(sys.stdout.fileno(), LineBound())
+    handler = BoundedHandler(sys.stdout.fileno(), LineRateLimit())
     handler.setFormatter(make_formatter(host, program))
     logging.basicConfig(level=level, handlers=[handler], force=True)
--- a/sedgetide/daemons/_orders.py
+++ b/sedgetide/daemons/_orderclient.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from sedgetide.backends.dialects import Order
 from sedgetide.backends.dialects import OrderDialect
+from sedgetide.backends.dialects import OrderRequest
 from sedgetide.core.errors import ErrorCode
 from sedgetide.core.errors import UpstreamError
 from sedgetide.core.identifiers import Fence
@@ -16,7 +16,7 @@
 from sedgetide.daemons._hostmetrics import ORDERS
 from sedgetide.runtime.clock import read_clock
 from sedgetide.runtime.events import Event
-from sedgetide.runtime.events import tell
+from sedgetide.runtime.events import log_event
 from sedgetide.wire.client import Connection
 from sedgetide.wire.client import ConnectionPool
 from sedgetide.wire.messages import Answer
@@ -31,7 +31,7 @@
 _OK = 200
 
 
-class Taken(enum.Enum):
+class OrderOutcome(enum.Enum):
     """What became of an order.
 
     Attributes
@@ -64,7 +64,7 @@
 
     Parameters
     ----------
-    taken : Taken
+    taken : OrderOutcome
         Whether it was obeyed.
     handover : str
         State that a release hands to the next owner.
@@ -72,12 +72,12 @@
         What went wrong, for people.
     """
 
-    taken: Taken
+    taken: OrderOutcome
     handover: str = ""
     detail: str = ""
 
 
-class OrderLane:
+class OrderClient:
     """Gives orders to one upstream.
 
     A full upstream resets new connections, so the connections are kept.
@@ -151,7 +151,7 @@
             None when it may not be sent any more.
         """
 
-        def make() -> Order | None:
+        def make() -> OrderRequest | None:
             life = prepare()
             if life is None:
                 return None
@@ -177,7 +177,7 @@
             Called when the order can leave at once; returns whether it may.
         """
 
-        def make() -> Order | None:
+        def make() -> OrderRequest | None:
             if not may_leave():
                 return None
             return self._dialect.make_release(self.upstream, keys, fence)
@@ -190,9 +190,9 @@
         self, order: str, keys: KeyRange, fence: Fence, result: OrderResult
     ) -> None:
         ORDERS.labels(order, result.taken.value).inc()
-        if order == "grant" and result.taken is Taken.DONE:
+        if order == "grant" and result.taken is OrderOutcome.DONE:
             return
-        tell(
+        log_event(
             Event.ORDER,
             order=order,
             upstream=self.upstream,
@@ -204,12 +204,14 @@
         )
 
     def _give(
-        self, make: Callable[[], Order | None], timeout: float | None = None
+        self,
+        make: Callable[[], OrderRequest | None],
+        timeout: float | None = None,
     ) -> OrderResult:
         try:
             connection = self._take()
         except UpstreamError as error:
-            return OrderResult(Taken.UNSENT, detail=error.detail)
+            return OrderResult(OrderOutcome.UNSENT, detail=error.detail)
         self._in_use.add(connection)
         try:
             return self._give_on(connection, make, timeout)
@@ -285,13 +287,13 @@
     def _give_on(
         self,
         connection: Connection,
-        make: Callable[[], Order | None],
+        make: Callable[[], OrderRequest | None],
         timeout: float | None,
     ) -> OrderResult:
         order = make()
         if order is None:
             self._pool.give_back(connection)
-            return OrderResult(Taken.UNSENT)
+            return OrderResult(OrderOutcome.UNSENT)
         request = Request(
             "POST",
             order.path,
@@ -306,22 +308,24 @@
         except UpstreamError as error:
             if error.code is not ErrorCode.UPSTREAM_SILENT:
                 self._note_end(connection)
-            return OrderResult(Taken.UNKNOWN, detail=error.detail)
+            return OrderResult(OrderOutcome.UNKNOWN, detail=error.detail)
         self._pool.give_back(connection)
-        if not connection.open_now:
+        if not connection.is_open:
             self._replace(connection, sent_at)
         return self._judge(answer)
 
     def _judge(self, answer: Answer) -> OrderResult:
         if answer.status == _OK:
             handover = self._dialect.read_handover(answer.headers)
-            return OrderResult(Taken.DONE, handover)
+            return OrderResult(OrderOutcome.DONE, handover)
         if self._dialect.is_fenced(answer.status):
-            return OrderResult(Taken.FENCED)
-        if self._dialect.is_foreign(answer.status):
-            return OrderResult(Taken.FOREIGN)
+            return OrderResult(OrderOutcome.FENCED)
+        if self._dialect.is_misdirected(answer.status):
+            return OrderResult(OrderOutcome.FOREIGN)
         # What else it says is no proof of anything.
-        return OrderResult(Taken.UNKNOWN, detail=f"status {answer.status}")
+        return OrderResult(
+            OrderOutcome.UNKNOWN, detail=f"status {answer.status}"
+        )
 
     def close(self) -> None:
         """Close all connections."""
--- a/sedgetide/daemons/_orderdesk.py
+++ b/sedgetide/daemons/_orderexecutor.py
@@ -9,23 +9,23 @@
 from sedgetide.core.identifiers import Fence
 from sedgetide.core.identifiers import IncarnationName
 from sedgetide.core.identifiers import ServiceName
-from sedgetide.core.membership.directory import Directory
 from sedgetide.core.membership.directory import RegisteredUpstream
+from sedgetide.core.membership.directory import UpstreamDirectory
 from sedgetide.core.ownership.leadership import Durations
 from sedgetide.core.ownership.ranges import RangeTable
 from sedgetide.core.ownership.ranges import Tenure
 from sedgetide.core.ownership.terms import Grant
 from sedgetide.core.ownership.terms import Term
+from sedgetide.daemons._deployment import DeploymentState
 from sedgetide.daemons._hostmetrics import MOVES
-from sedgetide.daemons._knowledge import Knowledge
-from sedgetide.daemons._orders import OrderLane
-from sedgetide.daemons._orders import OrderResult
-from sedgetide.daemons._orders import Taken
+from sedgetide.daemons._orderclient import OrderClient
+from sedgetide.daemons._orderclient import OrderOutcome
+from sedgetide.daemons._orderclient import OrderResult
 from sedgetide.daemons._renewal import renew_round
 from sedgetide.runtime.clock import read_clock
 from sedgetide.runtime.events import Event
-from sedgetide.runtime.events import tell
-from sedgetide.runtime.signals import Changes
+from sedgetide.runtime.events import log_event
+from sedgetide.runtime.signals import ChangeSignal
 
 _RETRY_PAUSE = 0.2
 # A timer of no time at all would end the release before it is sent.
@@ -35,7 +35,7 @@
 _MOST_SESSIONS = 16_000
 
 
-class OrderLanes:
+class OrderClients:
     """Ways on which orders go, kept over all terms of a host.
 
     Parameters
@@ -49,11 +49,11 @@
     def __init__(self, dialect: OrderDialect, grant_timeout: float) -> None:
         self._dialect = dialect
         self._grant_timeout = grant_timeout
-        self._lanes: dict[IncarnationName, OrderLane] = {}
+        self._lanes: dict[IncarnationName, OrderClient] = {}
         self._entries: dict[IncarnationName, RegisteredUpstream] = {}
         self._seen_at: dict[IncarnationName, float] = {}
 
-    def note_addresses(self, directory: Directory, now: float) -> None:
+    def note_addresses(self, directory: UpstreamDirectory, now: float) -> None:
         """Remember where upstreams are, also once they have left."""
         for entry in directory.list_all():
             self._entries[entry.name] = entry
@@ -74,12 +74,12 @@
         entry = self._entries.get(upstream)
         return "" if entry is None else entry.address
 
-    def find(self, upstream: IncarnationName) -> OrderLane | None:
+    def find(self, upstream: IncarnationName) -> OrderClient | None:
         """Return the way to an upstream, if its address is known."""
         lane = self._lanes.get(upstream)
         entry = self._entries.get(upstream)
         if lane is None and entry is not None:
-            lane = OrderLane(
+            lane = OrderClient(
                 entry.registered_name,
                 entry.address,
                 self._dialect,
@@ -99,16 +99,16 @@
                 self._lanes.pop(name).close()
 
 
-class OrderDesk:
+class OrderExecutor:
     """Gives the orders of one term, by the tables that are in force.
 
     Parameters
     ----------
     term : Term
         What may be ordered, and what must be waited for.
-    knowledge : Knowledge
+    knowledge : DeploymentState
         Owners, as the store acknowledged them.
-    lanes : OrderLanes
+    lanes : OrderClients
         Ways to upstreams.
     durations : Durations
         On which single ownership rests.
@@ -119,13 +119,13 @@
     def __init__(
         self,
         term: Term,
-        knowledge: Knowledge,
-        lanes: OrderLanes,
+        deployment: DeploymentState,
+        lanes: OrderClients,
         durations: Durations,
         on_moved: Callable[[ServiceName, Tenure], None],
     ) -> None:
         self.term = term
-        self._knowledge = knowledge
+        self._deployment = deployment
         self._lanes = lanes
         self._durations = durations
         self._on_moved = on_moved
@@ -134,7 +134,7 @@
         self._stopped: dict[ServiceName, set[Tenure]] = {}
         self._fenced: dict[ServiceName, set[Tenure]] = {}
         self._sessions: dict[tuple[IncarnationName, Fence], int] = {}
-        self._renew_now = Changes()
+        self._renew_now = ChangeSignal()
 
     @property
     def moving(self) -> int:
@@ -150,7 +150,7 @@
 
     def renew_all(self) -> None:
         """Renew all grants now."""
-        self._renew_now.announce()
+        self._renew_now.notify_all()
 
     def list_ended(self, service: ServiceName) -> set[Tenure]:
         """Return moves that have ended and may not be written down yet."""
@@ -166,7 +166,7 @@
     def _forget_sessions(self) -> None:
         """Forget grants of ranges that have moved on."""
         current = set()
-        for known in self._knowledge.tables.values():
+        for known in self._deployment.tables.values():
             for tenure in known.table.tenures:
                 current.add((tenure.owner, tenure.fence))
                 current.add((tenure.successor, tenure.fence))
@@ -208,7 +208,7 @@
             if not self.term.may_order(now):
                 return
             taken = self._grant(service, tenure.successor, tenure, handover)
-            if taken is Taken.DONE:
+            if taken is OrderOutcome.DONE:
                 break
             gevent.sleep(_RETRY_PAUSE)
         # Without its answer the successor owns it all the same: its
@@ -260,7 +260,7 @@
             return self._is_current(service, tenure)
 
         result = lane.release(tenure.keys, tenure.fence, may_leave)
-        if result.taken not in (Taken.DONE, Taken.FOREIGN):
+        if result.taken not in (OrderOutcome.DONE, OrderOutcome.FOREIGN):
             return None
         self.term.note_release(tenure.owner, tenure.keys)
         return result
@@ -272,7 +272,7 @@
         proof: str,
         seconds: float,
     ) -> None:
-        tell(
+        log_event(
             Event.OWNER_STOPPED,
             service=service,
             upstream=tenure.owner,
@@ -288,15 +288,15 @@
     ) -> bool:
         """Tell whether the owner can not hold the range any longer."""
         address = self._lanes.find_address(tenure.owner)
-        if self._knowledge.directory.has_successor(tenure.owner, address):
+        if self._deployment.directory.is_address_reused(tenure.owner, address):
             return True
-        since = self._knowledge.find_known_since(service, tenure)
+        since = self._deployment.find_known_since(service, tenure)
         return self.term.has_ended(tenure.owner, tenure.keys, since, now)
 
     def _find_end(self, service: ServiceName, tenure: Tenure) -> float:
         """Return when the owner's hold of a range has certainly run out."""
-        since = self._knowledge.find_known_since(service, tenure)
-        return self.term.find_end(tenure.owner, tenure.keys, since)
+        since = self._deployment.find_known_since(service, tenure)
+        return self.term.find_hold_end(tenure.owner, tenure.keys, since)
 
     def _grant(
         self,
@@ -304,10 +304,10 @@
         upstream: IncarnationName,
         tenure: Tenure,
         handover: str,
-    ) -> Taken:
+    ) -> OrderOutcome:
         lane = self._lanes.find(upstream)
         if lane is None:
-            return Taken.UNSENT
+            return OrderOutcome.UNSENT
         grants: list[Grant] = []
         granted = (upstream, tenure.fence)
         restarted = False
@@ -334,9 +334,9 @@
 
         try:
             result = lane.grant(tenure.keys, tenure.fence, handover, prepare)
-            if result.taken is Taken.FOREIGN:
-                self._knowledge.directory.note_foreign(upstream, read_clock())
-            return Taken.RESTARTED if restarted else result.taken
+            if result.taken is OrderOutcome.FOREIGN:
+                self._deployment.directory.note_foreign(upstream, read_clock())
+            return OrderOutcome.RESTARTED if restarted else result.taken
         finally:
             # Answered or taken back: it arrives no later than now.
             for grant in grants:
@@ -353,14 +353,17 @@
                 owned, lambda tenure: self._renew_one(service, tenure)
             )
             for tenure, taken in results.items():
-                refused = taken in (Taken.FENCED, Taken.RESTARTED)
+                refused = taken in (
+                    OrderOutcome.FENCED,
+                    OrderOutcome.RESTARTED,
+                )
                 if refused and self._is_current(service, tenure):
                     self._fenced.setdefault(service, set()).add(tenure)
             self._renew_now.wait(self._durations.renew)
 
-    def _renew_one(self, service: ServiceName, tenure: Tenure) -> Taken:
+    def _renew_one(self, service: ServiceName, tenure: Tenure) -> OrderOutcome:
         if not self._is_current(service, tenure):
-            return Taken.DONE
+            return OrderOutcome.DONE
         return self._grant(service, tenure.owner, tenure, "")
 
     def _is_current(self, service: ServiceName, tenure: Tenure) -> bool:
@@ -378,4 +381,4 @@
         A leader whose era is over would order by the table of the next one
         on a proof that counts for nothing there.
         """
-        return self._knowledge.find_table_of(service, self.term.era)
+        return self._deployment.find_table_in_era(service, self.term.era)
--- a/sedgetide/daemons/_questions.py
+++ b/sedgetide/daemons/_pendingverdict.py
@@ -10,7 +10,7 @@
 _WORD = 0.12
 
 
-class Question:
+class PendingVerdict:
     """A request that waits for another host's words.
 
     Parameters
--- a/sedgetide/daemons/_places.py
+++ b/sedgetide/daemons/_places.py
@@ -19,9 +19,9 @@
 from sedgetide.core.requests.places import Ticket
 from sedgetide.core.requests.places import Verdict
 from sedgetide.core.requests.ratelimits import StatedLimit
+from sedgetide.daemons._deployment import DeploymentState
 from sedgetide.daemons._hostmetrics import PLACES
-from sedgetide.daemons._knowledge import Knowledge
-from sedgetide.daemons._questions import Question
+from sedgetide.daemons._pendingverdict import PendingVerdict
 from sedgetide.runtime.clock import read_clock
 
 # Seconds for which a lender without a word is not asked: a lost one is
@@ -87,7 +87,7 @@
     ----------
     link : LinkAddress
         Own link address.
-    knowledge : Knowledge
+    knowledge : DeploymentState
         Names the lenders.
     send : callable
         Sends a message to a host.
@@ -99,15 +99,15 @@
     def __init__(
         self,
         link: LinkAddress,
-        knowledge: Knowledge,
+        deployment: DeploymentState,
         send: Send,
         source: random.Random,
     ) -> None:
         self._link = link
-        self._knowledge = knowledge
+        self._deployment = deployment
         self._send = send
         self._numbers = itertools.count(source.randrange(_NUMBERS))
-        self._pending: dict[int, Question] = {}
+        self._pending: dict[int, PendingVerdict] = {}
         self._silent_until: dict[LinkAddress, float] = {}
         self._lender = Lender()
         self._timer: gevent.Greenlet | None = None
@@ -142,15 +142,15 @@
             None when nobody lends there just now: a lender that is lost
             must not make its upstreams unreachable.
         """
-        lenders = self._knowledge.lenders
+        lenders = self._deployment.lenders
         link = lenders.find(upstream)
         if link is None or self._is_silent(link):
             return None
         bounded = cold_bound is not None or limit is not None
-        if lenders.bounded_only and not bounded:
+        if lenders.rate_limited_only and not bounded:
             return None
         number = next(self._numbers)
-        pending = self._pending[number] = Question(number, link)
+        pending = self._pending[number] = PendingVerdict(number, link)
         question = AskPlace(
             number,
             upstream.name,
@@ -236,10 +236,10 @@
 
         One of the two hosts knows its newer entry, and nobody can tell which.
         """
-        entry = self._knowledge.directory.find(message.upstream)
+        entry = self._deployment.directory.find(message.upstream)
         own = None
         if entry is not None:
-            own = self._knowledge.find_cold_bound(entry, now)
+            own = self._deployment.find_cold_bound(entry, now)
         bounds = [
             each for each in (own, message.cold_bound) if each is not None
         ]
@@ -249,7 +249,7 @@
         """Return the limits that this host counts for all, a second."""
         return self._lender.list_limits(now)
 
-    def keep(self, now: float) -> None:
+    def run_periodic(self, now: float) -> None:
         """Take back what lost hosts hold."""
         self._announce(self._lender.expire(now))
 
@@ -263,7 +263,7 @@
 
     def _on_time(self) -> None:
         self._timer = None
-        self.keep(read_clock())
+        self.run_periodic(read_clock())
 
     def _announce(self, decisions: list[Decision]) -> None:
         for each in decisions:
--- a/sedgetide/daemons/_quarantine.py
+++ b/sedgetide/daemons/_quarantine.py
@@ -15,12 +15,12 @@
 from sedgetide.coding.messages import Quarantined
 from sedgetide.core.identifiers import Fingerprint
 from sedgetide.core.identifiers import LinkAddress
-from sedgetide.core.requests.breaks import EndedUpstream
+from sedgetide.core.requests.brokenruns import EndedUpstream
 from sedgetide.core.requests.quarantine import Quarantine
 from sedgetide.daemons._hostmetrics import QUARANTINED
-from sedgetide.daemons._job import Job
+from sedgetide.daemons._requestcontext import RequestContext
 from sedgetide.runtime.events import Event
-from sedgetide.runtime.events import tell
+from sedgetide.runtime.events import log_event
 
 # Seconds; hosts report each 0.4 s.
 _REPORTER_LIFE = 3.0
@@ -69,29 +69,29 @@
 
     # For requests
 
-    def find_stay(self, job: Job, now: float) -> float:
+    def find_stay_left(self, job: RequestContext, now: float) -> float:
         """Return for how many seconds a request is refused still."""
         if self._quarantine.idle:
             return 0.0
-        return self._quarantine.find_stay(job.find_fingerprint(), now)
+        return self._quarantine.find_stay_left(job.find_fingerprint(), now)
 
-    def is_suspect(self, job: Job) -> bool:
+    def is_suspect(self, job: RequestContext) -> bool:
         """Tell whether upstreams have ended under a request."""
         if self._quarantine.idle:
             return False
         return self._quarantine.is_suspect(job.find_fingerprint())
 
-    def is_grave(self, fingerprint: Fingerprint) -> bool:
+    def is_strong_suspect(self, fingerprint: Fingerprint) -> bool:
         """Tell whether one more loss may decide about a request."""
-        return self._quarantine.is_grave(fingerprint)
+        return self._quarantine.is_strong_suspect(fingerprint)
 
-    def may_retry(self, job: Job) -> bool:
+    def may_retry(self, job: RequestContext) -> bool:
         """Tell whether a request may be sent again by the host itself."""
         if self._quarantine.idle:
             return True
         return self._quarantine.may_retry(job.find_fingerprint())
 
-    def note_end(self, job: Job, now: float) -> None:
+    def note_end(self, job: RequestContext, now: float) -> None:
         """Take in that a request has ended well."""
         if not self._quarantine.idle:
             self.clear(job.find_fingerprint(), now)
@@ -103,7 +103,7 @@
             self._spread(now)
         return news
 
-    def take_ended(self, ended: EndedUpstream, now: float) -> None:
+    def note_upstream_end(self, ended: EndedUpstream, now: float) -> None:
         """Take in that an upstream ended, with what it had."""
         suspects = [run.fingerprint for run in ended.runs]
         alone = [run.fingerprint for run in ended.runs if run.alone]
@@ -116,7 +116,7 @@
         """Let a request through; return whether it was suspected."""
         lifted = self.clear(fingerprint, now)
         if lifted:
-            tell(Event.QUARANTINE_LIFTED, fingerprint=fingerprint)
+            log_event(Event.QUARANTINE_LIFTED, fingerprint=fingerprint)
         return lifted
 
     # Copies on other hosts
@@ -138,7 +138,7 @@
         if message.version != self._quarantine.version:
             self._correct(sender, now)
 
-    def keep(self, now: float) -> None:
+    def run_periodic(self, now: float) -> None:
         """Forget what is over, and tell of what began or ended."""
         self._quarantine.expire(now)
         for links in (self._reporters, self._corrected):
@@ -185,13 +185,13 @@
             each.fingerprint: each for each in self._quarantine.list_stays(now)
         }
         for fingerprint in stays.keys() - self._told:
-            tell(
+            log_event(
                 Event.QUARANTINED,
                 fingerprint=fingerprint,
                 stay=stays[fingerprint].number,
                 seconds=int(stays[fingerprint].until - now),
             )
         for fingerprint in self._told - stays.keys():
-            tell(Event.QUARANTINE_ENDED, fingerprint=fingerprint)
+            log_event(Event.QUARANTINE_ENDED, fingerprint=fingerprint)
         self._told = set(stays)
         QUARANTINED.set(len(stays))
--- a/sedgetide/daemons/_quarantinerecord.py
+++ b/sedgetide/daemons/_quarantinerecord.py
@@ -6,11 +6,11 @@
 from sedgetide.backends.leasestore import Write
 from sedgetide.core.errors import StoreError
 from sedgetide.core.history import Position
-from sedgetide.daemons._knowledge import Knowledge
-from sedgetide.daemons._records import make_leader_key
-from sedgetide.daemons._records import make_quarantine_key
+from sedgetide.daemons._deployment import DeploymentState
+from sedgetide.daemons._recordkeys import make_leader_key
+from sedgetide.daemons._recordkeys import make_quarantine_key
 from sedgetide.runtime.events import Event
-from sedgetide.runtime.events import tell
+from sedgetide.runtime.events import log_event
 
 # Seconds between two tries; the store that refused one is away, or another
 # leader's write is on its way here.
@@ -31,16 +31,16 @@
     ----------
     store : LeaseStore
         The leader's client.
-    knowledge : Knowledge
+    knowledge : DeploymentState
         Has the quarantine, and what the store holds of it.
     """
 
-    def __init__(self, store: LeaseStore, knowledge: Knowledge) -> None:
+    def __init__(self, store: LeaseStore, deployment: DeploymentState) -> None:
         self._store = store
-        self._knowledge = knowledge
+        self._deployment = deployment
         self._tried_at = float("-inf")
 
-    def keep(self, term: Position, now: float) -> None:
+    def run_periodic(self, term: Position, now: float) -> None:
         """Write stays and losses if they are others than in the store.
 
         Parameters
@@ -50,10 +50,10 @@
         now : float
             Own clock.
         """
-        quarantine = self._knowledge.quarantine
-        recorded = self._knowledge.recorded_quarantine
+        quarantine = self._deployment.quarantine
+        recorded = self._deployment.recorded_quarantine
         record = quarantine.record(now)
-        if recorded.record.names(record):
+        if recorded.record.has_same_content(record):
             return
         covered = recorded.record.covers(record)
         pause = _REMOVED_EVERY if covered else _TRY_EVERY
@@ -66,4 +66,4 @@
         try:
             self._store.transact(term.era, expected, [Write(key, value)])
         except StoreError as error:
-            tell(Event.QUARANTINE_UNWRITTEN, error=error)
+            log_event(Event.QUARANTINE_UNWRITTEN, error=error)
--- a/sedgetide/daemons/_records.py
+++ b/sedgetide/daemons/_recordkeys.py
@@ -18,7 +18,7 @@
 _QUARANTINE = "quarantine"
 
 
-class RecordName(msgspec.Struct, frozen=True):
+class RecordKey(msgspec.Struct, frozen=True):
     """What a key of the hosts' own names.
 
     Parameters
@@ -50,17 +50,17 @@
         return ServiceName(self.name.removeprefix(_RANGES))
 
 
-def read_key(key: str) -> RecordName | None:
+def parse_key(key: str) -> RecordKey | None:
     """Return what a key names; None for one of somebody else."""
     if not key.startswith(_PREFIX):
         return None
     name = key.removeprefix(_PREFIX)
     if not name.startswith(_ERAS):
-        return RecordName(FIRST_ERA, name)
+        return RecordKey(FIRST_ERA, name)
     era, _, name = name.removeprefix(_ERAS).partition("/")
     if not (era.isascii() and era.isdigit()):
         return None
-    return RecordName(Era(int(era)), name)
+    return RecordKey(Era(int(era)), name)
 
 
 def _make_key(era: Era, name: str) -> str:
--- a/sedgetide/daemons/_recoverydesk.py
+++ b/sedgetide/daemons/_recoverycoordinator.py
@@ -11,12 +11,12 @@
 from sedgetide.core.ownership.recovery import find_first_fence
 from sedgetide.core.ownership.recovery import Recovery
 from sedgetide.core.ownership.terms import Term
-from sedgetide.daemons._knowledge import Knowledge
-from sedgetide.daemons._orderdesk import OrderLanes
-from sedgetide.daemons._orders import Taken
+from sedgetide.daemons._deployment import DeploymentState
+from sedgetide.daemons._orderclient import OrderOutcome
+from sedgetide.daemons._orderexecutor import OrderClients
 from sedgetide.runtime.clock import read_clock
 from sedgetide.runtime.events import Event
-from sedgetide.runtime.events import tell
+from sedgetide.runtime.events import log_event
 from sedgetide.wire.probes import Presence
 from sedgetide.wire.probes import probe
 
@@ -34,24 +34,24 @@
         self.tasks: dict[IncarnationName, gevent.Greenlet] = {}
 
 
-class RecoveryDesk:
+class RecoveryCoordinator:
     """Recoveries of all services in one term.
 
     Parameters
     ----------
     term : Term
         Which orders are part of.
-    knowledge : Knowledge
+    knowledge : DeploymentState
         Upstreams, and owners as they were known before.
-    lanes : OrderLanes
+    lanes : OrderClients
         Ways to upstreams.
     """
 
     def __init__(
-        self, term: Term, knowledge: Knowledge, lanes: OrderLanes
+        self, term: Term, deployment: DeploymentState, lanes: OrderClients
     ) -> None:
         self._term = term
-        self._knowledge = knowledge
+        self._deployment = deployment
         self._lanes = lanes
         self._services: dict[ServiceName, _ServiceRecovery] = {}
         self._done: set[ServiceName] = set()
@@ -73,7 +73,7 @@
         RangeTable or None
             None while somebody may still hold keys of earlier eras.
         """
-        known = self._knowledge.find_table(service) or RangeTable()
+        known = self._deployment.find_table(service) or RangeTable()
         if self._term.era == FIRST_ERA:
             return known
         fence = max(known.fence, find_first_fence(self._term.era))
@@ -89,21 +89,27 @@
         now = read_clock()
         state = self._services.get(service)
         if state is None:
-            over_at = self._term.inherited_until
-            settled_at = self._knowledge.find_settled_at()
-            state = _ServiceRecovery(Recovery(settled_at, over_at), fence)
+            grants_expire_at = self._term.inherited_until
+            settled_at = self._deployment.find_reregistration_end()
+            state = _ServiceRecovery(
+                Recovery(settled_at, grants_expire_at), fence
+            )
             self._services[service] = state
-            tell(
+            log_event(
                 Event.RECOVERING,
                 service=service,
                 era=self._term.era,
-                most_seconds=f"{max(0.0, over_at - now):.1f}",
+                most_seconds=f"{max(0.0, grants_expire_at - now):.1f}",
             )
         upstreams = self._list_upstreams(service, known, now)
         if state.recovery.is_over(upstreams, now):
             self._note_over(service, state)
             return True
-        self._ask(service, state, state.recovery.list_open(upstreams, now))
+        self._ask(
+            service,
+            state,
+            state.recovery.list_pending_releases(upstreams, now),
+        )
         return False
 
     def _note_over(
@@ -112,7 +118,7 @@
         released = state.recovery.list_released()
         for upstream in released:
             self._term.note_release(upstream, ALL_KEYS)
-        tell(
+        log_event(
             Event.RECOVERED,
             service=service,
             era=self._term.era,
@@ -133,11 +139,11 @@
         for tenure in known.tenures:
             upstreams.add(tenure.successor or tenure.owner)
             upstreams.add(tenure.owner)
-        directory = self._knowledge.directory
+        directory = self._deployment.directory
         return {
             each
             for each in upstreams
-            if not directory.has_successor(
+            if not directory.is_address_reused(
                 each, self._lanes.find_address(each)
             )
         }
@@ -173,14 +179,14 @@
         lane = self._lanes.find(name)
         if lane is not None and lane.reach():
             state.reached.add(name)
-            self._knowledge.changes.announce()
+            self._deployment.changes.notify_all()
             return
         address = self._lanes.find_address(name)
         if address and probe(address, _PROBE_TIMEOUT) is Presence.ENDED:
             # Nobody listens there: its process has ended, and its grants
             # with it.
             state.recovery.note_released(name)
-            self._knowledge.changes.announce()
+            self._deployment.changes.notify_all()
             return
         gevent.sleep(_RETRY_PAUSE)
 
@@ -194,8 +200,8 @@
             state.fence,
             lambda: self._term.may_order(read_clock()),
         )
-        if result.taken in (Taken.DONE, Taken.FOREIGN):
+        if result.taken in (OrderOutcome.DONE, OrderOutcome.FOREIGN):
             state.recovery.note_released(name)
-            self._knowledge.changes.announce()
+            self._deployment.changes.notify_all()
             return
         gevent.sleep(_RETRY_PAUSE)
--- a/sedgetide/daemons/_renewal.py
+++ b/sedgetide/daemons/_renewal.py
@@ -6,15 +6,15 @@
 from gevent.pool import Pool
 
 from sedgetide.core.ownership.ranges import Tenure
-from sedgetide.daemons._orders import Taken
+from sedgetide.daemons._orderclient import OrderOutcome
 
 _WORKERS = 3
-_RETRIED = frozenset({Taken.UNKNOWN})
+_RETRIED = frozenset({OrderOutcome.UNKNOWN})
 
 
 def renew_round(
-    tenures: Sequence[Tenure], grant: Callable[[Tenure], Taken]
-) -> dict[Tenure, Taken]:
+    tenures: Sequence[Tenure], grant: Callable[[Tenure], OrderOutcome]
+) -> dict[Tenure, OrderOutcome]:
     """Grant all ranges once more, and those without an answer twice.
 
     An upstream that leaves some orders unanswered still takes the others:
@@ -34,10 +34,10 @@
     dict
         What became of each range, those never tried left out.
     """
-    taken: dict[Tenure, Taken] = {}
+    taken: dict[Tenure, OrderOutcome] = {}
 
     def work(tenure: Tenure) -> None:
-        if Taken.UNSENT not in taken.values():
+        if OrderOutcome.UNSENT not in taken.values():
             taken[tenure] = grant(tenure)
 
     pool = Pool(_WORKERS)
--- a/sedgetide/daemons/_job.py
+++ b/sedgetide/daemons/_requestcontext.py
@@ -9,14 +9,14 @@
 from sedgetide.core.requests.attempts import Failure
 from sedgetide.core.requests.attempts import Progress
 from sedgetide.core.requests.fingerprints import make_fingerprint
-from sedgetide.core.requests.returns import SOON
-from sedgetide.core.requests.routes import Timetable
+from sedgetide.core.requests.retryafter import SHORT_RETRY_DELAY
+from sedgetide.core.requests.routes import RequestTimes
 from sedgetide.wire.messages import Answer
 from sedgetide.wire.messages import find_header
 from sedgetide.wire.messages import Request
 
 
-class Job(msgspec.Struct):
+class RequestContext(msgspec.Struct):
     """One request on its way.
 
     Parameters
@@ -25,7 +25,7 @@
         What the caller sent.
     route, service, keyed : RouteRule, ServiceName, bool
         Where it goes, and whether only the owner of its key may run it.
-    times : Timetable
+    times : RequestTimes
         Its times by the own clock.
     progress : Progress
         What has become of it so far.
@@ -56,10 +56,10 @@
     route: RouteRule
     service: ServiceName
     keyed: bool
-    times: Timetable
+    times: RequestTimes
     progress: Progress
     answer: Answer | None = None
-    retry_after: float = SOON
+    retry_after: float = SHORT_RETRY_DELAY
     note: str = ""
     unreached: int = 0
     overdue: bool = False
--- a/sedgetide/daemons/_requestlog.py
+++ b/sedgetide/daemons/_requestlog.py
@@ -1,20 +1,20 @@
 """What is told of requests: logs and metrics."""
 
 from sedgetide.backends.dialects import CallerFields
+from sedgetide.daemons._deployment import DeploymentState
 from sedgetide.daemons._hostmetrics import HELD_SECONDS
 from sedgetide.daemons._hostmetrics import REQUEST_SECONDS
 from sedgetide.daemons._hostmetrics import REQUESTS
 from sedgetide.daemons._hostmetrics import SENDS
-from sedgetide.daemons._job import Job
-from sedgetide.daemons._knowledge import Knowledge
+from sedgetide.daemons._requestcontext import RequestContext
 from sedgetide.runtime.clock import read_clock
 from sedgetide.runtime.events import Event
-from sedgetide.runtime.events import tell
+from sedgetide.runtime.events import log_event
 from sedgetide.wire.messages import find_header
 from sedgetide.wire.messages import Request
 
 
-def count_end(job: Job, began: float) -> None:
+def count_end(job: RequestContext, began: float) -> None:
     """Count a request and its times in the metrics."""
     progress = job.progress
     REQUESTS.labels(
@@ -31,18 +31,18 @@
 
     Parameters
     ----------
-    knowledge : Knowledge
+    knowledge : DeploymentState
         What the host knows of the deployment.
     """
 
-    def __init__(self, knowledge: Knowledge) -> None:
-        self._knowledge = knowledge
+    def __init__(self, deployment: DeploymentState) -> None:
+        self._deployment = deployment
 
-    def tell_end(self, job: Job, status: int, began: float) -> None:
+    def tell_end(self, job: RequestContext, status: int, began: float) -> None:
         """Log the end of a request; status 0: its caller left."""
-        known = self._knowledge.tables.get(job.service)
+        known = self._deployment.tables.get(job.service)
         now = read_clock()
-        tell(
+        log_event(
             Event.REQUEST,
             id=job.fields.request,
             route=job.route.name,
@@ -59,20 +59,20 @@
             ms=int((now - began) * 1000),
             held_ms=int(job.held * 1000),
             rested_ms=int(job.rested * 1000),
-            version=self._knowledge.policy.version,
+            version=self._deployment.policy.version,
             revision=0 if known is None else known.position,
             fence=job.fence,
-            age_ms=int((now - self._knowledge.heard_at) * 1000),
+            age_ms=int((now - self._deployment.heard_at) * 1000),
         )
 
     def tell_denied(self, fields: CallerFields, request: Request) -> None:
         """Log a request without a route."""
-        tell(
+        log_event(
             Event.DENIED,
             id=fields.request,
             status=404,
             host_header=find_header(request.headers, "host"),
             path=request.path[:80],
-            version=self._knowledge.policy.version,
-            age_ms=int((read_clock() - self._knowledge.heard_at) * 1000),
+            version=self._deployment.policy.version,
+            age_ms=int((read_clock() - self._deployment.heard_at) * 1000),
         )
