--- a/sedgetide/daemons/_requests.py
+++ b/sedgetide/daemons/_requestrouter.py
@@ -10,38 +10,38 @@
 from sedgetide.core.configuration.policy import RouteRule
 from sedgetide.core.identifiers import ServiceName
 from sedgetide.core.membership.partitions import PartitionDetector
-from sedgetide.core.requests.ages import CallerAges
 from sedgetide.core.requests.attempts import Failure
 from sedgetide.core.requests.attempts import may_send_again
 from sedgetide.core.requests.attempts import Progress
 from sedgetide.core.requests.attempts import Wait
+from sedgetide.core.requests.averages import AnswerAverages
 from sedgetide.core.requests.outcomes import Outcome
+from sedgetide.core.requests.overdue import OverdueDetector
 from sedgetide.core.requests.places import Verdict
-from sedgetide.core.requests.retries import bound_burst
+from sedgetide.core.requests.retries import compute_burst_limit
 from sedgetide.core.requests.retries import FIRST_TOKENS
 from sedgetide.core.requests.retries import RetryBudget
-from sedgetide.core.requests.retries import RetryTerms
-from sedgetide.core.requests.returns import UNPREPARED
-from sedgetide.core.requests.returns import wait_for_backoff
+from sedgetide.core.requests.retries import RetryPolicy
+from sedgetide.core.requests.retryafter import retry_after_backoff
+from sedgetide.core.requests.retryafter import STARTUP_RETRY_DELAY
 from sedgetide.core.requests.routes import choose_service
-from sedgetide.core.requests.routes import set_times
-from sedgetide.core.requests.usual import UsualFigures
-from sedgetide.daemons._breaks import BreakWatch
+from sedgetide.core.requests.routes import compute_times
+from sedgetide.daemons._crashdetector import CrashDetector
+from sedgetide.daemons._deployment import DeploymentState
 from sedgetide.daemons._hostmetrics import QUARANTINE_REFUSALS
 from sedgetide.daemons._hostmetrics import RETRIES
-from sedgetide.daemons._job import Job
-from sedgetide.daemons._knowledge import Knowledge
-from sedgetide.daemons._lanes import Lanes
-from sedgetide.daemons._passages import Passage
-from sedgetide.daemons._passages import Passages
+from sedgetide.daemons._loadreporter import LoadMeter
 from sedgetide.daemons._places import Places
 from sedgetide.daemons._quarantine import SharedQuarantine
-from sedgetide.daemons._reporter import LoadMeter
+from sedgetide.daemons._requestcontext import RequestContext
 from sedgetide.daemons._requestlog import count_end
 from sedgetide.daemons._requestlog import RequestLog
-from sedgetide.daemons._sends import Sender
+from sedgetide.daemons._sender import Sender
 from sedgetide.daemons._trials import Trial
 from sedgetide.daemons._trials import Trials
+from sedgetide.daemons._upstreamchannels import UpstreamChannels
+from sedgetide.daemons._upstreamselector import SendPermit
+from sedgetide.daemons._upstreamselector import UpstreamSelector
 from sedgetide.runtime.clock import read_clock
 from sedgetide.wire.messages import Answer
 from sedgetide.wire.messages import find_header
@@ -54,16 +54,16 @@
 _MOST_UNREACHED = 3
 
 
-class Requests:
+class RequestRouter:
     """Serves the requests of one host.
 
     Parameters
     ----------
-    knowledge : Knowledge
+    knowledge : DeploymentState
         What is known of the deployment.
     dialect : RequestDialect
         Headers.
-    lanes : Lanes
+    lanes : UpstreamChannels
         Ways to upstreams.
     places : Places
         Places at upstreams, where hosts lend them.
@@ -73,13 +73,13 @@
         Own data centre.
     partitions : PartitionDetector
         Learns from each request what can be reached.
-    breaks : BreakWatch
+    breaks : CrashDetector
         Finds out why connections to upstreams break.
     quarantine : SharedQuarantine
-        Requests that end the upstreams that run them.
+        RequestRouter that end the upstreams that run them.
     trials : Trials
         Leave to run those that are suspected of it.
-    retries : RetryTerms
+    retries : RetryPolicy
         What the deployment grants.
     source : random.Random
         Blurs choices, on each host in its own way.
@@ -87,40 +87,40 @@
 
     def __init__(
         self,
-        knowledge: Knowledge,
+        deployment: DeploymentState,
         dialect: RequestDialect,
-        lanes: Lanes,
+        lanes: UpstreamChannels,
         places: Places,
         meter: LoadMeter,
         data_centre: str,
         partitions: PartitionDetector,
-        breaks: BreakWatch,
+        breaks: CrashDetector,
         quarantine: SharedQuarantine,
         trials: Trials,
-        retries: RetryTerms,
+        retries: RetryPolicy,
         source: random.Random,
     ) -> None:
-        usual = UsualFigures()
-        self._knowledge = knowledge
+        usual = AnswerAverages()
+        self._deployment = deployment
         self._dialect = dialect
         self._meter = meter
         self._partitions = partitions
         self._quarantine = quarantine
         self._trials = trials
         self._retries = retries
-        self._ages = CallerAges()
+        self._ages = OverdueDetector()
         self._budgets: dict[ServiceName, RetryBudget] = {}
-        self._passages = Passages(
-            knowledge, lanes, places, usual, data_centre, source
+        self._passages = UpstreamSelector(
+            deployment, lanes, places, usual, data_centre, source
         )
         self._sender = Sender(
-            knowledge, dialect, meter, partitions, usual, breaks
+            deployment, dialect, meter, partitions, usual, breaks
         )
-        self._log = RequestLog(knowledge)
+        self._log = RequestLog(deployment)
 
     def read_limits(self) -> CallerLimits:
         """Return the bounds of callers in force."""
-        policy = self._knowledge.policy
+        policy = self._deployment.policy
         return CallerLimits() if policy is None else policy.limits
 
     def is_idempotent(self, request: Request) -> bool:
@@ -129,16 +129,16 @@
         return route is None or route.idempotent
 
     def _match(self, request: Request) -> RouteRule | None:
-        if self._knowledge.routes is None:
+        if self._deployment.routes is None:
             return None
         host = find_header(request.headers, "host") or ""
-        return self._knowledge.routes.match(host, request.path)
+        return self._deployment.routes.match(host, request.path)
 
     def serve(self, request: Request) -> Answer:
         """Bring a request to its final answer."""
         began = read_clock()
-        if self._knowledge.routes is None:
-            return _refuse(UNPREPARED)
+        if self._deployment.routes is None:
+            return _refuse(STARTUP_RETRY_DELAY)
         try:
             fields = self._dialect.read_request(request.headers)
         except ValueError as error:
@@ -167,18 +167,18 @@
         fields: CallerFields,
         route: RouteRule,
         began: float,
-    ) -> Job:
+    ) -> RequestContext:
         service = choose_service(route, fields.request)
-        rule = self._knowledge.policy.services.get(service)
+        rule = self._deployment.policy.services.get(service)
         keyed = rule is not None and rule.keyed
         if keyed and fields.key is not None:
             self._meter.note_request(route.name, service, fields.key)
-        times = set_times(route, fields.deadline, began)
+        times = compute_times(route, fields.deadline, began)
         objective = times.objective - began
         overdue = self._ages.is_overdue(
             route.name, fields.deadline, objective, began
         )
-        return Job(
+        return RequestContext(
             request,
             fields,
             route,
@@ -199,11 +199,11 @@
         return budget
 
     def _bound_burst(self) -> float:
-        return bound_burst(self._retries.slack, self._knowledge.hosts)
+        return compute_burst_limit(self._retries.slack, self._deployment.hosts)
 
     # Attempts
 
-    def _run(self, job: Job) -> Answer:
+    def _run(self, job: RequestContext) -> Answer:
         while not self._is_quarantined(job):
             with self._trials.open(job) as trial:
                 sent = self._try_once(job, trial)
@@ -217,7 +217,7 @@
                 break
         return self._conclude(job)
 
-    def _try_once(self, job: Job, trial: Trial) -> bool:
+    def _try_once(self, job: RequestContext, trial: Trial) -> bool:
         """Send a request once; return whether it might be sent."""
         while True:
             passage = self._passages.find(job)
@@ -240,7 +240,9 @@
             if not trial.wait():
                 return False
 
-    def _send(self, job: Job, passage: Passage, trial: Trial) -> bool:
+    def _send(
+        self, job: RequestContext, passage: SendPermit, trial: Trial
+    ) -> bool:
         """Send a request, unless its passage has become void meanwhile."""
         trial.begin()
         sent = self._sender.attempt(
@@ -252,9 +254,9 @@
             trial.withdraw()
         return sent
 
-    def _is_quarantined(self, job: Job) -> bool:
+    def _is_quarantined(self, job: RequestContext) -> bool:
         """Tell whether a request is refused since upstreams end under it."""
-        left = self._quarantine.find_stay(job, read_clock())
+        left = self._quarantine.find_stay_left(job, read_clock())
         if left <= 0.0:
             return False
         job.note = "quarantined"
@@ -262,7 +264,7 @@
         QUARANTINE_REFUSALS.labels(job.service).inc()
         return True
 
-    def _may_go_on(self, job: Job) -> bool:
+    def _may_go_on(self, job: RequestContext) -> bool:
         now = read_clock()
         if job.progress.failure is Failure.UNREACHABLE:
             return self._may_look_elsewhere(job, now)
@@ -273,7 +275,7 @@
         left = self._passages.find_backoff(job, now)
         if left > 0.0:
             job.note = Wait.BACKING_OFF.value
-            job.retry_after = wait_for_backoff(left)
+            job.retry_after = retry_after_backoff(left)
             return False
         if not self._quarantine.may_retry(job):
             job.note = "suspect"
@@ -284,25 +286,28 @@
             return False
         RETRIES.labels(job.service, "spent").inc()
         if job.progress.failure is Failure.NOT_OWNER:
-            self._knowledge.changes.wait(_NOT_OWNER_PAUSE)
+            self._deployment.changes.wait(_NOT_OWNER_PAUSE)
         elif job.progress.failure is Failure.BUSY:
             gevent.sleep(_BUSY_PAUSE)
         return True
 
-    def _may_look_elsewhere(self, job: Job, now: float) -> bool:
+    def _may_look_elsewhere(self, job: RequestContext, now: float) -> bool:
         """Tell whether to go on after a connection that did not open.
 
         Nothing arrived anywhere, so this is no retry; but the owner of a
         key is the only one that may run its requests.
         """
         job.unreached += 1
-        if job.unreached > _MOST_UNREACHED or now >= job.times.bound_hold():
+        if (
+            job.unreached > _MOST_UNREACHED
+            or now >= job.times.find_hold_deadline()
+        ):
             return False
         if job.keyed:
-            self._knowledge.changes.wait(job.times.bound_hold() - now)
+            self._deployment.changes.wait(job.times.find_hold_deadline() - now)
         return True
 
-    def _conclude(self, job: Job) -> Answer:
+    def _conclude(self, job: RequestContext) -> Answer:
         """Return the final answer of a request that none was got for."""
         if job.progress.outcome is Outcome.NOT_RUN:
             return _refuse(job.retry_after)
--- a/sedgetide/daemons/_sends.py
+++ b/sedgetide/daemons/_sender.py
@@ -8,30 +8,30 @@
 from sedgetide.core.membership.directory import RegisteredUpstream
 from sedgetide.core.membership.partitions import PartitionDetector
 from sedgetide.core.requests.attempts import Failure
-from sedgetide.core.requests.attempts import NO_WORD
+from sedgetide.core.requests.attempts import NO_RESPONSE_FAILURES
 from sedgetide.core.requests.attempts import NOT_RUN_FAILURES
-from sedgetide.core.requests.attempts import OWN_FAULTS
 from sedgetide.core.requests.attempts import refine_failure
 from sedgetide.core.requests.attempts import Target
+from sedgetide.core.requests.attempts import UPSTREAM_FAULTS
+from sedgetide.core.requests.averages import AnswerAverages
 from sedgetide.core.requests.health import UNREACHED_WEIGHT
 from sedgetide.core.requests.outcomes import combine_outcomes
 from sedgetide.core.requests.outcomes import Outcome
 from sedgetide.core.requests.ratelimits import StatedLimit
-from sedgetide.core.requests.returns import wait_for_owner
-from sedgetide.core.requests.returns import wait_for_upstream
-from sedgetide.core.requests.usual import UsualFigures
+from sedgetide.core.requests.retryafter import retry_after_full_upstream
+from sedgetide.core.requests.retryafter import retry_after_owner_loss
 from sedgetide.core.requests.windows import UpstreamLoad
-from sedgetide.daemons._breaks import BreakWatch
+from sedgetide.daemons._crashdetector import CrashDetector
+from sedgetide.daemons._deployment import DeploymentState
 from sedgetide.daemons._hostmetrics import PUSHBACKS
 from sedgetide.daemons._hostmetrics import UNREADABLE_LOADS
-from sedgetide.daemons._job import Job
-from sedgetide.daemons._knowledge import Knowledge
-from sedgetide.daemons._lanes import Lane
-from sedgetide.daemons._passages import Passage
-from sedgetide.daemons._reporter import LoadMeter
+from sedgetide.daemons._loadreporter import LoadMeter
+from sedgetide.daemons._requestcontext import RequestContext
+from sedgetide.daemons._upstreamchannels import UpstreamChannel
+from sedgetide.daemons._upstreamselector import SendPermit
 from sedgetide.runtime.clock import read_clock
 from sedgetide.runtime.events import Event
-from sedgetide.runtime.events import tell
+from sedgetide.runtime.events import log_event
 from sedgetide.wire.messages import Answer
 from sedgetide.wire.messages import drop_hop_headers
 from sedgetide.wire.messages import Request
@@ -47,7 +47,7 @@
 
     Parameters
     ----------
-    knowledge : Knowledge
+    knowledge : DeploymentState
         What is known of the deployment.
     dialect : RequestDialect
         Headers.
@@ -55,22 +55,22 @@
         Counts load for the leader.
     partitions : PartitionDetector
         Learns from each request what can be reached.
-    usual : UsualFigures
+    usual : AnswerAverages
         Learns what requests take.
-    breaks : BreakWatch
+    breaks : CrashDetector
         Finds out why connections break.
     """
 
     def __init__(
         self,
-        knowledge: Knowledge,
+        deployment: DeploymentState,
         dialect: RequestDialect,
         meter: LoadMeter,
         partitions: PartitionDetector,
-        usual: UsualFigures,
-        breaks: BreakWatch,
+        usual: AnswerAverages,
+        breaks: CrashDetector,
     ) -> None:
-        self._knowledge = knowledge
+        self._deployment = deployment
         self._dialect = dialect
         self._meter = meter
         self._partitions = partitions
@@ -78,7 +78,10 @@
         self._breaks = breaks
 
     def attempt(
-        self, job: Job, passage: Passage, may_send: Callable[[], bool]
+        self,
+        job: RequestContext,
+        passage: SendPermit,
+        may_send: Callable[[], bool],
     ) -> bool:
         """Send a request once; its progress tells what became of it.
 
@@ -109,8 +112,8 @@
             if error.code is ErrorCode.UPSTREAM_UNREACHABLE:
                 lane.health.note_unreached(now)
                 if job.keyed:
-                    absence = lane.health.find_absence(read_clock())
-                    job.retry_after = wait_for_owner(absence)
+                    absence = lane.health.find_unreachable_time(read_clock())
+                    job.retry_after = retry_after_owner_loss(absence)
             self._note_failure(job, passage, Failure.UNREACHABLE)
             return True
         if not may_send():
@@ -149,7 +152,9 @@
         self._take_answer(job, passage, answer, before, began)
         return True
 
-    def _make_send(self, job: Job, target: Target, now: float) -> Request:
+    def _make_send(
+        self, job: RequestContext, target: Target, now: float
+    ) -> Request:
         headers = drop_hop_headers(job.request.headers)
         return Request(
             job.request.method,
@@ -163,17 +168,19 @@
             job.request.body,
         )
 
-    def _make_test(self, job: Job) -> Callable[[list[tuple[str, str]]], bool]:
+    def _make_test(
+        self, job: RequestContext
+    ) -> Callable[[list[tuple[str, str]]], bool]:
         def belongs(headers: list[tuple[str, str]]) -> bool:
-            found = self._dialect.find_request(headers)
+            found = self._dialect.read_request_id(headers)
             return found is None or found == job.fields.request
 
         return belongs
 
     def _take_answer(
         self,
-        job: Job,
-        passage: Passage,
+        job: RequestContext,
+        passage: SendPermit,
         answer: Answer,
         before: Outcome,
         began: float,
@@ -185,7 +192,8 @@
             lane.window.note_load(load, now)
             lane.admit()
         failure = refine_failure(
-            self._dialect.judge(answer.status, answer.headers), job.keyed
+            self._dialect.classify_answer(answer.status, answer.headers),
+            job.keyed,
         )
         said = self._hear_pushback(target, answer, failure, began, now)
         if passage.place is not None:
@@ -209,7 +217,7 @@
             )
             return
         if failure is Failure.FOREIGN:
-            self._knowledge.directory.note_foreign(target.upstream.name, now)
+            self._deployment.directory.note_foreign(target.upstream.name, now)
         if failure in NOT_RUN_FAILURES:
             job.progress.outcome = combine_outcomes(before, Outcome.NOT_RUN)
         elif failure is Failure.FAILED:
@@ -218,7 +226,7 @@
             )
         if failure is Failure.BUSY:
             seconds = lane.health.estimate_seconds()
-            job.retry_after = wait_for_upstream(load, seconds)
+            job.retry_after = retry_after_full_upstream(load, seconds)
         self._note_failure(job, passage, failure, load)
 
     def _read_load(
@@ -230,7 +238,7 @@
             # The answer itself is whole; only windows and places go without
             # what it would have told them.
             UNREADABLE_LOADS.labels(target.upstream.service).inc()
-            tell(
+            log_event(
                 Event.LOAD_REFUSED,
                 upstream=target.upstream.registered_name,
                 problem=error,
@@ -250,7 +258,7 @@
         pushback = self._dialect.read_pushback(answer.status, answer.headers)
         for problem in pushback.problems:
             PUSHBACKS.labels(upstream.service, "unreadable").inc()
-            tell(
+            log_event(
                 Event.PUSHBACK_REFUSED,
                 upstream=upstream.registered_name,
                 problem=problem,
@@ -259,11 +267,11 @@
             return None
         if pushback.leaving:
             PUSHBACKS.labels(upstream.service, "leaving").inc()
-            self._knowledge.note_leaving(upstream.name)
+            self._deployment.note_leaving(upstream.name)
         if pushback.backoff is not None:
             PUSHBACKS.labels(upstream.service, "backoff").inc()
             self._note_backoff(upstream, pushback.backoff, now)
-        limits = self._knowledge.limits
+        limits = self._deployment.limits
         if pushback.limit is not None:
             PUSHBACKS.labels(upstream.service, "limit").inc()
         elif failure is not Failure.NONE or pushback.problems:
@@ -273,7 +281,7 @@
         before = limits.find(upstream.name)
         if limits.note(upstream.name, said):
             limit = limits.find(upstream.name)
-            tell(
+            log_event(
                 Event.LIMITED,
                 upstream=upstream.registered_name,
                 limit=None if limit is None else limit.rate,
@@ -284,8 +292,8 @@
     def _note_backoff(
         self, upstream: RegisteredUpstream, seconds: float, now: float
     ) -> None:
-        if self._knowledge.backoffs.note(upstream.name, seconds, now):
-            tell(
+        if self._deployment.backoffs.note(upstream.name, seconds, now):
+            log_event(
                 Event.BACKING_OFF,
                 upstream=upstream.registered_name,
                 seconds=seconds,
@@ -293,8 +301,8 @@
 
     def _note_failure(
         self,
-        job: Job,
-        passage: Passage,
+        job: RequestContext,
+        passage: SendPermit,
         failure: Failure,
         load: UpstreamLoad | None = None,
     ) -> None:
@@ -303,21 +311,23 @@
         job.failures.append(failure)
         if failure in (Failure.BUSY, Failure.BROKEN):
             lane.window.note_refusal(load)
-        if failure in NO_WORD:
+        if failure in NO_RESPONSE_FAILURES:
             self._partitions.note_unreached(target.upstream.data_centre)
         if failure is not Failure.NOT_OWNER:
             unreached = failure is Failure.UNREACHABLE
             weight = UNREACHED_WEIGHT if unreached else 1.0
             lane.health.note_failure(read_clock(), weight)
-        if failure in OWN_FAULTS:
+        if failure in UPSTREAM_FAULTS:
             self._meter.note_failure(target.upstream.name)
 
 
-def _choose_rest(job: Job, lane: Lane, now: float) -> float:
+def _choose_rest(
+    job: RequestContext, lane: UpstreamChannel, now: float
+) -> float:
     """Return how long a connection may have rested for a request.
 
     One that may run again is sent again; the others have one chance.
     """
     if job.route.idempotent:
         return float("inf")
-    return lane.rests.find_longest(now)
+    return lane.rests.find_max_idle(now)
--- a/sedgetide/daemons/_storetask.py
+++ b/sedgetide/daemons/_storetask.py
@@ -24,7 +24,7 @@
 _log = logging.getLogger(__name__)
 
 
-class StoreOwner(abc.ABC):
+class StoreListener(abc.ABC):
     """The process the store's tasks speak to."""
 
     @abc.abstractmethod
@@ -32,17 +32,17 @@
         """Tell whether this process watches for its data centre."""
 
     @abc.abstractmethod
-    def take_records(self, records: list[Record]) -> None:
+    def handle_records(self, records: list[Record]) -> None:
         """Take in records read from the store."""
 
     @abc.abstractmethod
-    def take_proof(
+    def handle_proof(
         self, asked_at: float, revision: Revision, record: Record | None
     ) -> None:
         """Take in a read of the assignment's revision."""
 
     @abc.abstractmethod
-    def note_store_away(self, away: bool) -> None:
+    def set_store_unavailable(self, away: bool) -> None:
         """Take in whether the last call got no answer."""
 
 
@@ -57,12 +57,12 @@
         Key of the data centre's assignment.
     interval : float
         Seconds between proofs.
-    owner : StoreOwner
+    owner : StoreListener
         Receives what is read.
     """
 
     def __init__(
-        self, store: Store, key: str, interval: float, owner: StoreOwner
+        self, store: Store, key: str, interval: float, owner: StoreListener
     ) -> None:
         self._store = store
         self._key = key
@@ -100,7 +100,7 @@
         wait = _WATCH_WAIT if self._watched else 0.0
         changes = self._store.watch("", self._since, wait)
         self._watched = True
-        self._owner.take_records(changes.records)
+        self._owner.handle_records(changes.records)
         # An answer from a restored store could be lower; the records
         # themselves never go back.
         self._since = max(self._since, changes.revision)
@@ -124,14 +124,14 @@
         self._held = revision
         self.reached_at = time.monotonic()
         self.last_error = ""
-        self._owner.note_store_away(False)
-        self._owner.take_proof(asked_at, revision, record)
+        self._owner.set_store_unavailable(False)
+        self._owner.handle_proof(asked_at, revision, record)
 
     def _note_error(self, error: StoreError) -> None:
         if not self.last_error:
             _log.warning("store away", extra={"error": str(error)})
         self.last_error = str(error)
-        self._owner.note_store_away(True)
+        self._owner.set_store_unavailable(True)
 
 
 def swap_assignment(
--- a/sedgetide/daemons/_follower.py
+++ b/sedgetide/daemons/_storewatcher.py
@@ -8,10 +8,10 @@
 from sedgetide.backends.leasestore import LeaseStore
 from sedgetide.core.errors import HistoryLost
 from sedgetide.core.errors import StoreError
-from sedgetide.daemons._knowledge import Knowledge
+from sedgetide.daemons._deployment import DeploymentState
 from sedgetide.runtime.clock import read_clock
 from sedgetide.runtime.events import Event
-from sedgetide.runtime.events import tell
+from sedgetide.runtime.events import log_event
 from sedgetide.runtime.tasks import spawn_vital
 
 # A watch whose connection or store has gone silent looks like one without
@@ -43,7 +43,7 @@
     return _GATHER if news and not leading else 0.0
 
 
-class Follower:
+class StoreWatcher:
     """Lists the store once in each era and watches it from there.
 
     Parameters
@@ -52,7 +52,7 @@
         Its own client; a watch occupies a connection.
     prefix : str
         Beginning of all keys to follow.
-    knowledge : Knowledge
+    knowledge : DeploymentState
         What is kept up to date.
     is_fed : callable
         Whether the leader passes on all that the store tells.
@@ -64,13 +64,13 @@
         self,
         store: LeaseStore,
         prefix: str,
-        knowledge: Knowledge,
+        deployment: DeploymentState,
         is_fed: Callable[[], bool],
         is_leading: Callable[[], bool],
     ) -> None:
         self._store = store
         self._prefix = prefix
-        self._knowledge = knowledge
+        self._deployment = deployment
         self._listed = False
         self._is_fed = is_fed
         self._is_leading = is_leading
@@ -93,7 +93,7 @@
                     pause = _PAUSE
                     self._lost_again = False
             except HistoryLost:
-                tell(Event.HISTORY_LOST, revision=self._knowledge.as_of)
+                log_event(Event.HISTORY_LOST, revision=self._deployment.as_of)
                 self._listed = False
                 if self._lost_again:
                     gevent.sleep(pause)
@@ -109,25 +109,25 @@
         watching = self._listed
         if not self._listed:
             listing = self._store.list(self._prefix)
-            self._knowledge.take_listing(listing, read_clock())
+            self._deployment.apply_listing(listing, read_clock())
             self._listed = True
         else:
             wait = _WATCH if self.available else _FIRST_WATCH
-            since = self._knowledge.as_of
+            since = self._deployment.as_of
             listing = self._store.watch(self._prefix, since, wait)
-            self._knowledge.take_items(listing.items, read_clock())
-        self._knowledge.note_heard(listing.position, read_clock())
+            self._deployment.apply_items(listing.items, read_clock())
+        self._deployment.record_sync(listing.position, read_clock())
         self._note_back()
         gevent.sleep(choose_pause(self._is_leading(), len(listing.items)))
         return watching
 
     def _note_lost(self, error: StoreError) -> None:
-        self._knowledge.directory.note_disturbance(read_clock())
+        self._deployment.directory.note_registry_outage(read_clock())
         if self.available:
-            tell(Event.STORE_LOST, error=error)
+            log_event(Event.STORE_LOST, error=error)
         self.available = False
 
     def _note_back(self) -> None:
         if not self.available:
-            tell(Event.STORE_REACHED, revision=self._knowledge.as_of)
+            log_event(Event.STORE_REACHED, revision=self._deployment.as_of)
         self.available = True
--- a/sedgetide/daemons/_trials.py
+++ b/sedgetide/daemons/_trials.py
@@ -22,15 +22,15 @@
 from sedgetide.core.requests.places import Ticket
 from sedgetide.core.requests.places import Verdict
 from sedgetide.core.requests.trials import TrialDecision
-from sedgetide.core.requests.trials import TrialDesk
 from sedgetide.core.requests.trials import TrialEnd
+from sedgetide.core.requests.trials import TrialScheduler
 from sedgetide.daemons._hostmetrics import TRIALS
-from sedgetide.daemons._job import Job
+from sedgetide.daemons._pendingverdict import PendingVerdict
 from sedgetide.daemons._quarantine import SharedQuarantine
-from sedgetide.daemons._questions import Question
+from sedgetide.daemons._requestcontext import RequestContext
 from sedgetide.runtime.clock import read_clock
 from sedgetide.runtime.events import Event
-from sedgetide.runtime.events import tell
+from sedgetide.runtime.events import log_event
 
 # Seconds after which a caller does well to come again while nobody can be
 # asked: a lost leader has a successor within a few.
@@ -48,14 +48,14 @@
     ----------
     trials : Trials
         Asks for it.
-    job : Job
+    job : RequestContext
         The request.
     """
 
-    def __init__(self, trials: "Trials", job: Job) -> None:
+    def __init__(self, trials: "Trials", job: RequestContext) -> None:
         self._trials = trials
         self._job = job
-        self._question: Question | None = None
+        self._question: PendingVerdict | None = None
         self._verdict: Verdict | None = None
         self._end = TrialEnd.NOT_RUN
 
@@ -78,7 +78,7 @@
 
     def wait(self) -> bool:
         """Wait for a queued request's turn; return whether it came."""
-        patience = self._job.times.find_patience(read_clock())
+        patience = self._job.times.find_useful_time(read_clock())
         self._note(self._question.wait_last(patience))
         return self._verdict is not Verdict.REFUSED
 
@@ -145,12 +145,12 @@
         self._find_leader_link = find_leader_link
         self._send = send
         self._numbers = itertools.count(source.randrange(_NUMBERS))
-        self._pending: dict[int, Question] = {}
+        self._pending: dict[int, PendingVerdict] = {}
         self._silent_until: dict[LinkAddress, float] = {}
-        self._desk = TrialDesk()
+        self._desk = TrialScheduler()
 
     @contextlib.contextmanager
-    def open(self, job: Job) -> Iterator[Trial]:
+    def open(self, job: RequestContext) -> Iterator[Trial]:
         """Own the trial of a request until it has been sent."""
         trial = Trial(self, job)
         try:
@@ -158,21 +158,21 @@
         finally:
             trial.leave()
 
-    def is_suspect(self, job: Job) -> bool:
+    def is_suspect(self, job: RequestContext) -> bool:
         """Tell whether a request may run on trial only."""
         return self._quarantine.is_suspect(job)
 
-    def ask(self, job: Job) -> Question | None:
+    def ask(self, job: RequestContext) -> PendingVerdict | None:
         """Ask for leave to run a request; None when nobody can be asked."""
         link = self._find_leader_link()
         now = read_clock()
         if link is None or now < self._silent_until.get(link, now):
             return None
         number = next(self._numbers)
-        question = self._pending[number] = Question(number, link)
+        question = self._pending[number] = PendingVerdict(number, link)
         left = round(max(0.0, job.times.final - now), 3)
         fingerprint = job.find_fingerprint()
-        grave = self._quarantine.is_grave(fingerprint)
+        grave = self._quarantine.is_strong_suspect(fingerprint)
         self._tell(
             link, AskTrial(number, fingerprint, left, job.service, grave)
         )
@@ -182,13 +182,15 @@
         """Take in that a host said nothing in time."""
         self._silent_until = {link: read_clock() + _SILENT_FOR}
 
-    def close(self, job: Job, question: Question, end: TrialEnd) -> None:
+    def close(
+        self, job: RequestContext, question: PendingVerdict, end: TrialEnd
+    ) -> None:
         """Tell what became of a run, also of one that was never granted."""
         del self._pending[question.number]
         verdict = question.verdict
         TRIALS.labels("silent" if verdict is None else verdict.value).inc()
         if verdict is Verdict.GRANTED and end is not TrialEnd.NOT_RUN:
-            tell(
+            log_event(
                 Event.TRIAL,
                 id=job.fields.request,
                 fingerprint=job.find_fingerprint(),
@@ -234,10 +236,10 @@
     def _find_alone(self, message: AskTrial) -> ServiceName | None:
         """Return where a request has to run without other grave suspects."""
         # Either of the two hosts may know of a loss more.
-        grave = self._quarantine.is_grave(message.fingerprint)
+        grave = self._quarantine.is_strong_suspect(message.fingerprint)
         return message.service if message.grave or grave else None
 
-    def keep(self, now: float) -> None:
+    def run_periodic(self, now: float) -> None:
         """End the runs of hosts that were lost."""
         self._announce(self._desk.expire(now))
 
--- a/sedgetide/daemons/_lanes.py
+++ b/sedgetide/daemons/_upstreamchannels.py
@@ -6,8 +6,8 @@
 from sedgetide.core.identifiers import ServiceName
 from sedgetide.core.membership.directory import RegisteredUpstream
 from sedgetide.core.requests.health import UpstreamHealth
-from sedgetide.core.requests.idling import RestBound
-from sedgetide.core.requests.turns import WindowQueue
+from sedgetide.core.requests.idleconnections import IdleLimit
+from sedgetide.core.requests.windowqueue import WindowQueue
 from sedgetide.core.requests.windows import Window
 from sedgetide.runtime.clock import read_clock
 from sedgetide.wire.client import ConnectionPool
@@ -16,7 +16,7 @@
 _SETTLING = 0.003
 
 
-class Lane:
+class UpstreamChannel:
     """Way from this host to one upstream.
 
     Parameters
@@ -25,7 +25,7 @@
         Where it leads.
     body_limit : int
         Largest body accepted in an answer.
-    rests : RestBound
+    rests : IdleLimit
         How long its connections may rest; of all upstreams of the service,
         since one alone is sent too little to learn it from.
     """
@@ -34,7 +34,7 @@
         self,
         upstream: RegisteredUpstream,
         body_limit: int,
-        rests: RestBound,
+        rests: IdleLimit,
     ) -> None:
         self.pool = ConnectionPool(upstream.address, body_limit, _SETTLING)
         self.rests = rests
@@ -51,9 +51,9 @@
     def enter(self, priority: int, wait: float) -> bool:
         """Wait for a place in the window; return whether one was got."""
         now = read_clock()
-        if self._queue.enter_now(now):
+        if self._queue.try_enter(now):
             return True
-        if self._queue.is_hopeless(priority, wait, now):
+        if self._queue.is_wait_too_long(priority, wait, now):
             return False
         turn = Event()
         self._queue.push(turn, priority)
@@ -111,7 +111,7 @@
         self.pool.close()
 
 
-class Lanes:
+class UpstreamChannels:
     """All ways of a host, opened when first used.
 
     Parameters
@@ -122,15 +122,15 @@
 
     def __init__(self, body_limit: int) -> None:
         self._body_limit = body_limit
-        self._lanes: dict[str, Lane] = {}
-        self._rests: dict[ServiceName, RestBound] = {}
+        self._lanes: dict[str, UpstreamChannel] = {}
+        self._rests: dict[ServiceName, IdleLimit] = {}
 
-    def find(self, upstream: RegisteredUpstream) -> Lane:
+    def find(self, upstream: RegisteredUpstream) -> UpstreamChannel:
         """Return the way to an upstream."""
         lane = self._lanes.get(upstream.name)
         if lane is None:
-            rests = self._rests.setdefault(upstream.service, RestBound())
-            lane = Lane(upstream, self._body_limit, rests)
+            rests = self._rests.setdefault(upstream.service, IdleLimit())
+            lane = UpstreamChannel(upstream, self._body_limit, rests)
             self._lanes[upstream.name] = lane
         return lane
 
--- a/sedgetide/daemons/_passages.py
+++ b/sedgetide/daemons/_upstreamselector.py
@@ -11,27 +11,27 @@
 from sedgetide.core.requests.attempts import list_candidates
 from sedgetide.core.requests.attempts import Target
 from sedgetide.core.requests.attempts import Wait
-from sedgetide.core.requests.choice import Candidate
-from sedgetide.core.requests.choice import choose_upstream
-from sedgetide.core.requests.choice import price_crossing
+from sedgetide.core.requests.averages import AnswerAverages
+from sedgetide.core.requests.loadbalancing import Candidate
+from sedgetide.core.requests.loadbalancing import choose_upstream
+from sedgetide.core.requests.loadbalancing import compute_crossing_cost
 from sedgetide.core.requests.outcomes import Outcome
 from sedgetide.core.requests.places import rank_request
 from sedgetide.core.requests.ratelimits import StatedLimit
-from sedgetide.core.requests.returns import OUT_OF_TOUCH
-from sedgetide.core.requests.returns import UNPREPARED
-from sedgetide.core.requests.returns import wait_for_backoff
-from sedgetide.core.requests.returns import wait_for_limit
-from sedgetide.core.requests.returns import wait_for_move
-from sedgetide.core.requests.returns import wait_for_place
-from sedgetide.core.requests.returns import wait_for_queue
-from sedgetide.core.requests.usual import UsualFigures
-from sedgetide.daemons._job import Job
-from sedgetide.daemons._knowledge import Knowledge
-from sedgetide.daemons._lanes import Lane
-from sedgetide.daemons._lanes import Lanes
+from sedgetide.core.requests.retryafter import retry_after_backoff
+from sedgetide.core.requests.retryafter import retry_after_limit
+from sedgetide.core.requests.retryafter import retry_after_move
+from sedgetide.core.requests.retryafter import retry_after_place
+from sedgetide.core.requests.retryafter import retry_after_queue
+from sedgetide.core.requests.retryafter import STARTUP_RETRY_DELAY
+from sedgetide.core.requests.retryafter import STORE_SILENT_RETRY_DELAY
+from sedgetide.daemons._deployment import DeploymentState
 from sedgetide.daemons._places import Place
 from sedgetide.daemons._places import PlaceRefused
 from sedgetide.daemons._places import Places
+from sedgetide.daemons._requestcontext import RequestContext
+from sedgetide.daemons._upstreamchannels import UpstreamChannel
+from sedgetide.daemons._upstreamchannels import UpstreamChannels
 from sedgetide.runtime.clock import read_clock
 
 # Seconds for which a retry may wait, whatever its request has waited before.
@@ -43,11 +43,11 @@
 _SILENT_STORE = 3.0
 
 
-class Passage(msgspec.Struct):
+class SendPermit(msgspec.Struct):
     """Leave to send one request to an upstream."""
 
     target: Target
-    lane: Lane
+    lane: UpstreamChannel
     place: Place | None
 
     def leave(self) -> None:
@@ -56,18 +56,18 @@
             self.place.leave()
 
 
-class Passages:
+class UpstreamSelector:
     """Finds a target with a place for each request.
 
     Parameters
     ----------
-    knowledge : Knowledge
+    knowledge : DeploymentState
         What is known of the deployment.
-    lanes : Lanes
+    lanes : UpstreamChannels
         Ways to upstreams.
     places : Places
         Places at upstreams, where hosts lend them.
-    usual : UsualFigures
+    usual : AnswerAverages
         What requests usually take.
     data_centre : str
         Own data centre.
@@ -77,23 +77,23 @@
 
     def __init__(
         self,
-        knowledge: Knowledge,
-        lanes: Lanes,
+        deployment: DeploymentState,
+        lanes: UpstreamChannels,
         places: Places,
-        usual: UsualFigures,
+        usual: AnswerAverages,
         data_centre: str,
         source: random.Random,
     ) -> None:
-        self._knowledge = knowledge
+        self._deployment = deployment
         self._lanes = lanes
         self._places = places
         self._usual = usual
         self._data_centre = data_centre
         self._random = source
 
-    def find(self, job: Job) -> Passage | None:
+    def find(self, job: RequestContext) -> SendPermit | None:
         """Return a target with a place there; None to give up."""
-        limit = job.times.bound_hold()
+        limit = job.times.find_hold_deadline()
         if job.progress.sends:
             limit = max(limit, read_clock() + _RETRY_HOLD)
         declined: set[IncarnationName] = set()
@@ -119,11 +119,11 @@
             if now >= limit or self._is_hopeless(target, now):
                 job.retry_after = self._foresee(job, target, now)
                 return None
-            self._knowledge.changes.wait(limit - now)
+            self._deployment.changes.wait(limit - now)
 
     def _enter(
-        self, job: Job, target: Target, limit: float
-    ) -> Passage | PlaceRefused | None:
+        self, job: RequestContext, target: Target, limit: float
+    ) -> SendPermit | PlaceRefused | None:
         """Wait for a place at an upstream; None when none came in time.
 
         Only one upstream may run a request with a key, so the queue there
@@ -131,8 +131,8 @@
         windows find one with room, unless what it bears is bounded.
         """
         lane = self._lanes.find(target.upstream)
-        bound = self._knowledge.find_cold_bound(target.upstream, read_clock())
-        stated = self._knowledge.limits.find(target.upstream.name)
+        bound = self._deployment.find_cold_bound(target.upstream, read_clock())
+        stated = self._deployment.limits.find(target.upstream.name)
         bounded = bound is not None or stated is not None
         if job.keyed or bounded:
             place = self._ask_place(job, target, bound, stated)
@@ -143,18 +143,18 @@
                 return place
             if place is not None:
                 lane.occupy()
-                return Passage(target, lane, place)
+                return SendPermit(target, lane, place)
         priority = job.route.priority
         wait = min(limit, job.times.final) - read_clock()
         if lane.enter(priority, wait):
-            return Passage(target, lane, None)
+            return SendPermit(target, lane, None)
         job.note = "window"
-        job.retry_after = wait_for_queue(lane.estimate_wait(priority))
+        job.retry_after = retry_after_queue(lane.estimate_wait(priority))
         return None
 
     def _ask_place(
         self,
-        job: Job,
+        job: RequestContext,
         target: Target,
         bound: int | None,
         stated: StatedLimit | None,
@@ -165,7 +165,7 @@
                 target.upstream, job.route.priority, 0.0, bound, stated
             )
         now = read_clock()
-        left = job.times.find_patience(now)
+        left = job.times.find_useful_time(now)
         if job.progress.outcome is Outcome.UNKNOWN:
             # It may have run, and only an answer can tell: worth the wait.
             left = job.times.final - now
@@ -180,20 +180,22 @@
         return wait is Wait.BACKING_OFF
 
     def _is_out_of_touch(self, now: float) -> bool:
-        return now - self._knowledge.heard_at > _SILENT_STORE
+        return now - self._deployment.heard_at > _SILENT_STORE
 
-    def _foresee(self, job: Job, wait: Wait, now: float) -> float:
+    def _foresee(self, job: RequestContext, wait: Wait, now: float) -> float:
         """Return when a request that can't be sent anywhere may be."""
         if wait is Wait.BACKING_OFF:
-            return wait_for_backoff(self.find_backoff(job, now))
+            return retry_after_backoff(self.find_backoff(job, now))
         if wait is Wait.OWNER_GONE and self._is_out_of_touch(now):
-            return OUT_OF_TOUCH
+            return STORE_SILENT_RETRY_DELAY
         if wait is not Wait.MOVING:
-            return UNPREPARED
-        moving = self._knowledge.find_moving(job.service, job.fields.key, now)
-        return wait_for_move(moving)
+            return STARTUP_RETRY_DELAY
+        moving = self._deployment.find_move_age(
+            job.service, job.fields.key, now
+        )
+        return retry_after_move(moving)
 
-    def find_backoff(self, job: Job, now: float) -> float:
+    def find_backoff(self, job: RequestContext, now: float) -> float:
         """Return for how long all that may run a request want nothing.
 
         Returns
@@ -201,18 +203,18 @@
         float
             Seconds; zero when any of them wants none.
         """
-        directory = self._knowledge.directory
-        backoffs = self._knowledge.backoffs
+        directory = self._deployment.directory
+        backoffs = self._deployment.backoffs
         if not job.keyed:
             active = directory.list_active(job.service)
-            return backoffs.find_first([each.name for each in active], now)
-        table = self._knowledge.find_table(job.service)
+            return backoffs.find_shortest([each.name for each in active], now)
+        table = self._deployment.find_table(job.service)
         owner = find_owner(table, job.fields.key, directory, now)
         if isinstance(owner, Wait):
             return 0.0
-        return backoffs.find_left(owner.upstream.name, now)
+        return backoffs.find_remaining(owner.upstream.name, now)
 
-    def may_send(self, job: Job, passage: Passage) -> bool:
+    def may_send(self, job: RequestContext, passage: SendPermit) -> bool:
         """Tell whether a passage may be used at this moment.
 
         A limit may have been named while the request waited for this host's
@@ -220,31 +222,37 @@
         waited for a place or a connection.
         """
         upstream = passage.target.upstream.name
-        if self._knowledge.backoffs.find_left(upstream, read_clock()) > 0.0:
+        if (
+            self._deployment.backoffs.find_remaining(upstream, read_clock())
+            > 0.0
+        ):
             return False
-        if passage.place is None and self._knowledge.limits.find(upstream):
+        if passage.place is None and self._deployment.limits.find(upstream):
             return False
         return self._still_holds(job, passage.target)
 
-    def _still_holds(self, job: Job, target: Target) -> bool:
+    def _still_holds(self, job: RequestContext, target: Target) -> bool:
         """Tell whether a target is still right after waiting for it."""
-        directory = self._knowledge.directory
+        directory = self._deployment.directory
         if not job.keyed:
             return directory.find_active(target.upstream.name) is not None
-        table = self._knowledge.find_table(job.service)
+        table = self._deployment.find_table(job.service)
         now = read_clock()
         return find_owner(table, job.fields.key, directory, now) == target
 
     def _find_target(
-        self, job: Job, declined: Collection[IncarnationName], now: float
+        self,
+        job: RequestContext,
+        declined: Collection[IncarnationName],
+        now: float,
     ) -> Target | Wait:
-        directory = self._knowledge.directory
+        directory = self._deployment.directory
         if job.keyed:
             if self.find_backoff(job, now) > 0.0:
                 return Wait.BACKING_OFF
-            table = self._knowledge.find_table(job.service)
+            table = self._deployment.find_table(job.service)
             return find_owner(table, job.fields.key, directory, now)
-        avoided = self._knowledge.backoffs.list_active(now)
+        avoided = self._deployment.backoffs.list_active(now)
         candidates = list_candidates(
             directory,
             job.service,
@@ -256,8 +264,12 @@
             if not declined and self.find_backoff(job, now) > 0.0:
                 return Wait.BACKING_OFF
             return Wait.NO_UPSTREAM
-        size = len(job.request.body) + self._usual.find_bytes(job.route.name)
-        crossing = price_crossing(size, job.times.objective - job.times.began)
+        size = len(job.request.body) + self._usual.find_answer_size(
+            job.route.name
+        )
+        crossing = compute_crossing_cost(
+            size, job.times.objective - job.times.began
+        )
         seen = [
             self._describe(upstream, crossing, now) for upstream in candidates
         ]
@@ -267,10 +279,10 @@
         self, upstream: RegisteredUpstream, crossing: float, now: float
     ) -> Candidate:
         lane = self._lanes.find(upstream)
-        usual = self._usual.find_seconds(upstream.service)
+        usual = self._usual.find_service_time(upstream.service)
         near = upstream.data_centre == self._data_centre
-        cold = self._knowledge.find_cold_rate(upstream, now) is not None
-        limited = self._knowledge.limits.find(upstream.name) is not None
+        cold = self._deployment.find_cold_rate(upstream, now) is not None
+        limited = self._deployment.limits.find(upstream.name) is not None
         return Candidate(
             upstream,
             lane.health.service_time or usual,
@@ -284,7 +296,7 @@
 
 
 def _note_refusal(
-    job: Job,
+    job: RequestContext,
     seconds: float,
     bound: int | None,
     stated: StatedLimit | None,
@@ -292,7 +304,7 @@
     """Note why a lender has refused a request, and when to come again."""
     if stated is not None:
         job.note = "limited"
-        job.retry_after = wait_for_limit(seconds)
+        job.retry_after = retry_after_limit(seconds)
         return
     job.note = "no place" if bound is None else "cold"
-    job.retry_after = wait_for_place(seconds)
+    job.retry_after = retry_after_place(seconds)
--- a/sedgetide/daemons/_upstreamtask.py
+++ b/sedgetide/daemons/_upstreamtask.py
@@ -12,12 +12,12 @@
 import msgspec
 from prometheus_client import Counter
 
-from sedgetide.backends.httpupstream import drop_own_headers
-from sedgetide.backends.upstream import Order
+from sedgetide.backends.httpupstream import drop_reserved_headers
+from sedgetide.backends.upstream import OrderContext
 from sedgetide.backends.upstream import UpstreamClient
+from sedgetide.backends.upstream import UpstreamRequest
+from sedgetide.backends.upstream import UpstreamResult
 from sedgetide.backends.upstream import UpstreamStatus
-from sedgetide.backends.upstream import Work
-from sedgetide.backends.upstream import WorkResult
 from sedgetide.coding.messages import Request
 from sedgetide.coding.messages import Response
 from sedgetide.coding.settings import KeeperSettings
@@ -30,10 +30,10 @@
 from sedgetide.core.identifiers import RequestId
 from sedgetide.core.identifiers import UpstreamName
 from sedgetide.core.ownership.grants import Token
-from sedgetide.core.ownership.leasing import Answer
 from sedgetide.core.ownership.leasing import Authorization
-from sedgetide.core.ownership.leasing import Call
-from sedgetide.core.ownership.leasing import CallKind
+from sedgetide.core.ownership.leasing import ControlAnswer
+from sedgetide.core.ownership.leasing import ControlCall
+from sedgetide.core.ownership.leasing import ControlCallKind
 from sedgetide.core.ownership.leasing import Health
 from sedgetide.core.ownership.leasing import UpstreamLease
 from sedgetide.core.requests.operations import Admission
@@ -287,13 +287,15 @@
     def _send(self, job: _Job) -> bool:
         request, lease = job.request, self.lease
         now = time.monotonic()
-        obstacle = lease.find_obstacle(request.shard, request.expires, now)
+        obstacle = lease.find_refusal_reason(
+            request.shard, request.expires, now
+        )
         if obstacle is not None:
             self._refuse(job, obstacle, _MOVING_RETRY)
             return False
         epoch = lease.find_epoch(request.shard)
-        limit = lease.find_limit(request.shard, request.expires)
-        work = Work(
+        limit = lease.find_send_deadline(request.shard, request.expires)
+        work = UpstreamRequest(
             request.number,
             request.method,
             request.path,
@@ -307,7 +309,7 @@
         job.phase = Phase.HANDED_OVER
         try:
             result = self._client.run(
-                Order(self._orderer, lease.token.stamp, limit),
+                OrderContext(self._orderer, lease.token.stamp, limit),
                 work,
                 request.expires - now,
                 fresh=not request.idempotent,
@@ -320,7 +322,7 @@
         return self._handle_result(job, result, epoch)
 
     def _handle_result(
-        self, job: _Job, result: WorkResult, epoch: Epoch
+        self, job: _Job, result: UpstreamResult, epoch: Epoch
     ) -> bool:
         if result.declined:
             job.phase = Phase.DECLINED
@@ -334,7 +336,7 @@
             Outcome.ANSWERED,
             Reason.NONE,
             answer.status,
-            drop_own_headers(answer.headers),
+            drop_reserved_headers(answer.headers),
             answer.body,
             self.name,
             epoch,
@@ -432,7 +434,7 @@
             self._woken.wait(self._timing.heartbeat)
             self._woken.clear()
 
-    def _order(self, call: Call) -> bool:
+    def _order(self, call: ControlCall) -> bool:
         """Make a control call; return whether it was answered."""
         asked_at = time.monotonic()
         health = self.lease.health
@@ -444,7 +446,7 @@
             self._note_health(health)
             return False
         received_at = time.monotonic()
-        answer = Answer(
+        answer = ControlAnswer(
             Token(status.stamp, asked_at, received_at, status.incarnation),
             status.orderer,
             status.held_ms / _MILLISECONDS,
@@ -456,25 +458,25 @@
                 "orders taken over",
                 extra={"upstream": self.name, "from": status.orderer},
             )
-        if call.kind is CallKind.GRANT:
+        if call.kind is ControlCallKind.GRANT:
             self._begin_tenures(call, answer)
-        elif call.kind is CallKind.RELEASE:
+        elif call.kind is ControlCallKind.RELEASE:
             self._tell_news()
         self._note_health(health)
         return True
 
-    def _call(self, call: Call) -> UpstreamStatus:
+    def _call(self, call: ControlCall) -> UpstreamStatus:
         timeout = self._timing.silence / 2
-        if call.kind is CallKind.STATUS:
+        if call.kind is ControlCallKind.STATUS:
             return self._client.fetch_status(timeout)
-        order = Order(self._orderer, call.token.stamp, call.not_after)
-        if call.kind is CallKind.RELEASE:
+        order = OrderContext(self._orderer, call.token.stamp, call.not_after)
+        if call.kind is ControlCallKind.RELEASE:
             return self._client.release(order, call.shards, timeout)
         return self._client.grant(
             order, call.shards, self._timing.grant_life, timeout
         )
 
-    def _begin_tenures(self, call: Call, answer: Answer) -> None:
+    def _begin_tenures(self, call: ControlCall, answer: ControlAnswer) -> None:
         wall = time.time()
         for key, epoch in call.shards.items():
             if key not in answer.refused:
--- a/sedgetide/daemons/entry.py
+++ b/sedgetide/daemons/entry.py
@@ -14,7 +14,7 @@
 from sedgetide.daemons._admin import start_admin
 from sedgetide.daemons._dispatcher import Dispatcher
 from sedgetide.daemons._frontend import Frontend
-from sedgetide.daemons._frontend import TargetHandler
+from sedgetide.daemons._frontend import RawTargetHandler
 from sedgetide.daemons._inspection import Inspectable
 from sedgetide.daemons._process import make_incarnation
 from sedgetide.daemons._process import read_settings
@@ -54,7 +54,7 @@
             listener,
             self._frontend.make_application(),
             spawn=Pool(connections),
-            handler_class=TargetHandler,
+            handler_class=RawTargetHandler,
             log=None,
             error_log=_log,
         )
--- a/sedgetide/daemons/host.py
+++ b/sedgetide/daemons/host.py
@@ -12,10 +12,10 @@
 from gevent.pywsgi import WSGIServer
 import msgspec
 
-from sedgetide.backends.dialects import Catalogue
 from sedgetide.backends.dialects import OrderDialect
+from sedgetide.backends.dialects import RegistryDialect
 from sedgetide.backends.dialects import RequestDialect
-from sedgetide.backends.eras import EraWatch
+from sedgetide.backends.eras import EraTracker
 from sedgetide.backends.leasestore import LeaseStore
 from sedgetide.coding.addresses import split_address
 from sedgetide.coding.messages import AnyMessage
@@ -38,20 +38,20 @@
 from sedgetide.core.identifiers import Fingerprint
 from sedgetide.core.identifiers import LinkAddress
 from sedgetide.core.membership.evacuations import Evacuations
+from sedgetide.core.membership.lenders import HostStatus
 from sedgetide.core.membership.lenders import LendingHost
-from sedgetide.core.membership.lenders import Standing
 from sedgetide.core.membership.partitions import PartitionDetector
 from sedgetide.core.ownership.leadership import LeaderRecord
 from sedgetide.core.ownership.leadership import Leadership
-from sedgetide.core.requests.bodies import BodyAllowance
-from sedgetide.core.requests.bodies import bound_bodies
-from sedgetide.core.requests.retries import RetryTerms
+from sedgetide.core.requests.bodylimits import BodyBudget
+from sedgetide.core.requests.bodylimits import compute_body_limit
+from sedgetide.core.requests.retries import RetryPolicy
 from sedgetide.daemons._admin import make_application
-from sedgetide.daemons._breaks import BreakWatch
-from sedgetide.daemons._campaign import Campaign
-from sedgetide.daemons._countedstore import CountedStore
-from sedgetide.daemons._feed import FeedSink
-from sedgetide.daemons._follower import Follower
+from sedgetide.daemons._crashdetector import CrashDetector
+from sedgetide.daemons._deployment import ColdTolerance
+from sedgetide.daemons._deployment import DeploymentState
+from sedgetide.daemons._election import Election
+from sedgetide.daemons._feed import FeedReceiver
 from sedgetide.daemons._hostmetrics import BODY_BYTES_IN_HAND
 from sedgetide.daemons._hostmetrics import CALLER_CONNECTIONS
 from sedgetide.daemons._hostmetrics import EVACUATED
@@ -63,22 +63,22 @@
 from sedgetide.daemons._hostmetrics import UNREADABLE_ERAS
 from sedgetide.daemons._hostmetrics import UPSTREAMS
 from sedgetide.daemons._inspection import Inspectable
-from sedgetide.daemons._knowledge import ColdTerms
-from sedgetide.daemons._knowledge import Knowledge
-from sedgetide.daemons._lanes import Lanes
+from sedgetide.daemons._instrumentedstore import InstrumentedStore
 from sedgetide.daemons._leader import Leader
+from sedgetide.daemons._loadreporter import LoadMeter
+from sedgetide.daemons._loadreporter import LoadReporter
 from sedgetide.daemons._places import Places
 from sedgetide.daemons._process import make_incarnation
 from sedgetide.daemons._process import read_settings
 from sedgetide.daemons._quarantine import SharedQuarantine
-from sedgetide.daemons._reporter import LoadMeter
-from sedgetide.daemons._reporter import Reporter
-from sedgetide.daemons._requests import Requests
+from sedgetide.daemons._requestrouter import RequestRouter
+from sedgetide.daemons._storewatcher import StoreWatcher
 from sedgetide.daemons._trials import Trials
+from sedgetide.daemons._upstreamchannels import UpstreamChannels
 from sedgetide.links import Transport
 from sedgetide.runtime.clock import read_clock
 from sedgetide.runtime.events import Event
-from sedgetide.runtime.events import tell
+from sedgetide.runtime.events import log_event
 from sedgetide.runtime.sockets import open_listener
 from sedgetide.runtime.tasks import spawn_vital
 from sedgetide.wire.server import Server
@@ -95,7 +95,7 @@
 _NOTICE_SHARE = 0.49
 
 
-class Dialects(msgspec.Struct, frozen=True):
+class DeploymentAdapter(msgspec.Struct, frozen=True):
     """All that a deployment's adapter brings.
 
     Parameters
@@ -104,7 +104,7 @@
         Headers of requests and answers.
     orders : OrderDialect
         Grants and releases.
-    catalogue : Catalogue
+    catalogue : RegistryDialect
         Registry and routes.
     open_store : callable
         Returns a client of the store at an address, which tells of the
@@ -115,8 +115,8 @@
 
     requests: RequestDialect
     orders: OrderDialect
-    catalogue: Catalogue
-    open_store: Callable[[str, EraWatch], LeaseStore]
+    catalogue: RegistryDialect
+    open_store: Callable[[str, EraTracker], LeaseStore]
     readiness_path: str
 
 
@@ -127,26 +127,28 @@
     ----------
     settings : HostSettings
         Checked settings.
-    dialects : Dialects
+    dialects : DeploymentAdapter
         The deployment's adapter.
     """
 
-    def __init__(self, settings: HostSettings, dialects: Dialects) -> None:
+    def __init__(
+        self, settings: HostSettings, dialects: DeploymentAdapter
+    ) -> None:
         self._settings = settings
         self._dialects = dialects
         self._stopping = False
         self.incarnation = make_incarnation()
-        self._eras = EraWatch()
-        self._knowledge = Knowledge(
+        self._eras = EraTracker()
+        self._deployment = DeploymentState(
             dialects.catalogue,
             Evacuations(settings.evacuate_ms / 1000.0),
-            ColdTerms(settings.cold_overrun, settings.cold_slack),
+            ColdTolerance(settings.cold_overrun, settings.cold_slack),
         )
         self._eras.subscribe(
-            lambda era: self._knowledge.note_era(era, read_clock())
+            lambda era: self._deployment.note_era(era, read_clock())
         )
-        self._feed = FeedSink(self._knowledge, self._eras)
-        self._lanes = Lanes(settings.limits.body_bytes)
+        self._feed = FeedReceiver(self._deployment, self._eras)
+        self._lanes = UpstreamChannels(settings.limits.body_bytes)
         self._meter = LoadMeter()
         self._partitions = PartitionDetector(settings.data_centre)
         self._absent = False
@@ -155,12 +157,12 @@
         )
         self._places = Places(
             LinkAddress(settings.link),
-            self._knowledge,
+            self._deployment,
             self._transport.send,
             random.Random(self.incarnation),
         )
         self._quarantine = SharedQuarantine(
-            self._knowledge.quarantine,
+            self._deployment.quarantine,
             LinkAddress(settings.link),
             self.find_leader_link,
             self._transport.send,
@@ -172,11 +174,11 @@
             self._transport.send,
             random.Random(self.incarnation),
         )
-        self._breaks = BreakWatch(
-            self._knowledge.directory, self._quarantine.take_ended
+        self._breaks = CrashDetector(
+            self._deployment.directory, self._quarantine.note_upstream_end
         )
-        self._requests = Requests(
-            self._knowledge,
+        self._requests = RequestRouter(
+            self._deployment,
             dialects.requests,
             self._lanes,
             self._places,
@@ -186,7 +188,7 @@
             self._breaks,
             self._quarantine,
             self._trials,
-            RetryTerms(
+            RetryPolicy(
                 settings.retry_ratio * _OWN_SHARE, settings.retry_slack
             ),
             random.Random(settings.host),
@@ -195,32 +197,34 @@
             self._requests.serve,
             self._requests.is_idempotent,
             self._requests.read_limits,
-            BodyAllowance(bound_bodies(settings.memory_mb)),
+            BodyBudget(compute_body_limit(settings.memory_mb)),
         )
         self._leader = self._make_leader()
         self._bind_gauges()
 
     def _bind_gauges(self) -> None:
-        knowledge = self._knowledge
+        deployment = self._deployment
         REQUESTS_IN_HAND.set_function(lambda: self._server.in_hand)
         BODY_BYTES_IN_HAND.set_function(lambda: self._server.bodies.held)
         CALLER_CONNECTIONS.set_function(lambda: len(self._server.connections))
         STORE_SILENCE_SECONDS.set_function(
-            lambda: read_clock() - knowledge.heard_at
+            lambda: read_clock() - deployment.heard_at
         )
         STORE_ERA.set_function(lambda: float(self._eras.newest or FIRST_ERA))
         UNREADABLE_ERAS.set_function(lambda: float(self._eras.refused))
         POLICY_VERSION.set_function(
-            lambda: 0 if knowledge.policy is None else knowledge.policy.version
+            lambda: (
+                0 if deployment.policy is None else deployment.policy.version
+            )
         )
-        UPSTREAMS.set_function(lambda: len(knowledge.directory.list_all()))
+        UPSTREAMS.set_function(lambda: len(deployment.directory.list_all()))
         EVACUATED.set_function(
-            lambda: len(knowledge.directory.evacuations.list_asked())
+            lambda: len(deployment.directory.evacuations.list_evacuating())
         )
         LEADING.set_function(lambda: float(self._leader.leading))
 
     def _open_store(self) -> LeaseStore:
-        return CountedStore(
+        return InstrumentedStore(
             self._dialects.open_store(self._settings.stores[0], self._eras)
         )
 
@@ -233,17 +237,17 @@
             self.incarnation,
             LinkAddress(self._settings.link),
         )
-        campaign = Campaign(
+        campaign = Election(
             self._open_store(),
             record,
             leadership,
-            self._knowledge,
+            self._deployment,
             durations,
-            self._settings.processor_time,
+            self._settings.available_cores,
         )
         return Leader(
             self._open_store(),
-            self._knowledge,
+            self._deployment,
             self._dialects.orders,
             campaign,
             leadership,
@@ -259,16 +263,16 @@
         stack.callback(self._transport.close)
         self._transport.start()
         for prefix in self._dialects.catalogue.list_prefixes():
-            follower = Follower(
+            follower = StoreWatcher(
                 self._open_store(),
                 prefix,
-                self._knowledge,
+                self._deployment,
                 self._is_fed,
                 lambda: self._leader.leading,
             )
             follower.start(stack)
         self._leader.start(stack)
-        Reporter(self._meter, self).start(stack)
+        LoadReporter(self._meter, self).start(stack)
         spawn_vital(self._keep_house, stack)
         stack.callback(self._server.stop_accepting)
         self._server.start(
@@ -290,26 +294,28 @@
             gevent.sleep(_HOUSEKEEPING)
             now = read_clock()
             self._note_partition(now)
-            self._places.keep(now)
-            self._breaks.keep(now)
-            self._quarantine.keep(now)
-            self._trials.keep(now)
-            self._knowledge.settle(now)
-            if self._knowledge.directory.expire(now):
-                self._knowledge.changes.announce()
+            self._places.run_periodic(now)
+            self._breaks.run_periodic(now)
+            self._quarantine.run_periodic(now)
+            self._trials.run_periodic(now)
+            self._deployment.apply_pending_evacuations(now)
+            if self._deployment.directory.expire(now):
+                self._deployment.changes.notify_all()
             if turn % _PRUNED_EVERY == 0:
-                entries = self._knowledge.directory.list_all()
+                entries = self._deployment.directory.list_all()
                 self._lanes.prune({entry.name for entry in entries})
 
     def _note_partition(self, now: float) -> None:
         """Send callers elsewhere while this host is cut off."""
-        absent = self._partitions.should_leave(self._knowledge.heard_at, now)
+        absent = self._partitions.should_withdraw(
+            self._deployment.heard_at, now
+        )
         if absent != self._absent:
             self._absent = absent
-            silence = now - self._knowledge.heard_at
+            silence = now - self._deployment.heard_at
             event = Event.CUT_OFF if absent else Event.REJOINED
-            tell(event, silence=f"{silence:.1f}")
-        self._server.sends_away = absent or self._stopping
+            log_event(event, silence=f"{silence:.1f}")
+        self._server.close_after_answer = absent or self._stopping
 
     # Links
 
@@ -319,9 +325,9 @@
         elif isinstance(message, StoreFeed):
             self._feed.take(message, read_clock())
         elif isinstance(message, Moved):
-            self._knowledge.take_moved(message.service, message.tenures)
+            self._deployment.complete_moves(message.service, message.tenures)
         elif isinstance(message, Lenders):
-            self._knowledge.take_lenders(message.named)
+            self._deployment.set_lenders(message.named)
         elif isinstance(message, Quarantined):
             self._quarantine.take(message, LinkAddress(sender), read_clock())
         elif isinstance(message, AskPlace | EndPlace | PlaceVerdict):
@@ -341,35 +347,35 @@
         return not self._leader.leading and self._feed.is_fresh(read_clock())
 
     def find_position(self) -> Position:
-        return self._knowledge.as_of
+        return self._deployment.as_of
 
     def find_leader_link(self) -> LinkAddress | None:
-        leader = self._knowledge.leader
+        leader = self._deployment.leader
         return None if leader is None else leader.record.link
 
     def send_report(self, link: LinkAddress, report: LoadReport) -> None:
         report.standing = self._describe_standing()
-        report.leaving = self._knowledge.directory.list_announced()
+        report.leaving = self._deployment.directory.list_announced()
         report.limits = self._places.list_limits(read_clock())
         if link == self._settings.link:
             self._leader.note_report(report, None, read_clock())
         else:
             self._transport.send(link, report)
 
-    def _describe_standing(self) -> Standing:
-        own = self._settings.processor_time
-        return Standing(
+    def _describe_standing(self) -> HostStatus:
+        own = self._settings.available_cores
+        return HostStatus(
             DataCentre(self._settings.data_centre),
             0.0 if self._stopping else own,
-            self._knowledge.lenders.version,
-            self._knowledge.quarantine.version,
+            self._deployment.lenders.version,
+            self._deployment.quarantine.version,
         )
 
     # Admin
 
     def is_ready(self) -> bool:
         unready = self._stopping or self._absent
-        return self._knowledge.complete and not unready
+        return self._deployment.complete and not unready
 
     def lift_quarantine(self, fingerprint: Fingerprint) -> bool:
         return self._quarantine.lift(fingerprint, read_clock())
@@ -380,7 +386,7 @@
             "in_hand": self._server.in_hand,
             "connections": len(self._server.connections),
             "store_era": self._eras.newest,
-            "knowledge": self._knowledge.dump_state(),
+            "knowledge": self._deployment.dump_state(),
             "leader": self._leader.dump_state(),
             "traffic": msgspec.to_builtins(self._transport.traffic),
         }
@@ -396,7 +402,7 @@
         be cut by the end of the process while its upstream works on it.
         """
         self._stopping = True
-        tell(
+        log_event(
             Event.STOPPING,
             in_hand=self._server.in_hand,
             connections=len(self._server.connections),
@@ -413,7 +419,7 @@
         while read_clock() < last and self._server.connections:
             self._server.close_idle()
             gevent.sleep(_STOP_POLL)
-        tell(
+        log_event(
             Event.STOPPED,
             in_hand=self._server.in_hand,
             seconds=f"{read_clock() - began:.1f}",
@@ -424,14 +430,14 @@
             gevent.sleep(_STOP_POLL)
 
 
-def main(arguments: list[str] | None, dialects: Dialects) -> int:
+def main(arguments: list[str] | None, dialects: DeploymentAdapter) -> int:
     """Run a host until SIGTERM.
 
     Parameters
     ----------
     arguments : list of str or None
         Command line: the settings file.
-    dialects : Dialects
+    dialects : DeploymentAdapter
         The deployment's adapter.
     """
     settings = read_settings(
@@ -444,7 +450,7 @@
     with contextlib.ExitStack() as stack:
         host = Host(settings, dialects)
         host.start(stack)
-        tell(
+        log_event(
             Event.STARTED,
             listen=settings.listen,
             incarnation=host.incarnation,
@@ -456,4 +462,4 @@
 
 def _note_reload() -> None:
     """Say that the settings of a running process do not change."""
-    tell(Event.RELOAD)
+    log_event(Event.RELOAD)
--- a/sedgetide/platform/__main__.py
+++ b/sedgetide/platform/__main__.py
@@ -3,11 +3,11 @@
 import os
 import sys
 
-from sedgetide.daemons.host import Dialects
+from sedgetide.daemons.host import DeploymentAdapter
 from sedgetide.daemons.host import main
-from sedgetide.platform._catalogue import PlatformCatalogue
 from sedgetide.platform._names import READINESS_PATH
 from sedgetide.platform._orders import PlatformOrders
+from sedgetide.platform._registry import PlatformRegistry
 from sedgetide.platform._requests import PlatformRequests
 from sedgetide.platform._store import PlatformStore
 
@@ -19,10 +19,10 @@
     raise SystemExit(
         main(
             arguments,
-            Dialects(
+            DeploymentAdapter(
                 PlatformRequests(),
                 PlatformOrders(),
-                PlatformCatalogue(),
+                PlatformRegistry(),
                 lambda address, eras: PlatformStore(
                     address, _STORE_TIMEOUT, eras
                 ),
--- a/sedgetide/platform/_orders.py
+++ b/sedgetide/platform/_orders.py
@@ -3,8 +3,8 @@
 import msgspec
 
 from sedgetide.backends.dialects import Headers
-from sedgetide.backends.dialects import Order
 from sedgetide.backends.dialects import OrderDialect
+from sedgetide.backends.dialects import OrderRequest
 from sedgetide.core.identifiers import Fence
 from sedgetide.core.identifiers import UpstreamName
 from sedgetide.core.ownership.ranges import KeyRange
@@ -14,8 +14,8 @@
 
 def _make_order(
     path: str, upstream: UpstreamName, document: dict[str, object]
-) -> Order:
-    return Order(
+) -> OrderRequest:
+    return OrderRequest(
         path,
         msgspec.json.encode(document),
         (
@@ -36,7 +36,7 @@
         fence: Fence,
         hold: float,
         handover: str,
-    ) -> Order:
+    ) -> OrderRequest:
         document = {
             "from": keys.low,
             "to": keys.high,
@@ -49,7 +49,7 @@
 
     def make_release(
         self, upstream: UpstreamName, keys: KeyRange, fence: Fence
-    ) -> Order:
+    ) -> OrderRequest:
         document = {"from": keys.low, "to": keys.high, "fence": fence}
         return _make_order(_names.RELEASE_PATH, upstream, document)
 
@@ -59,5 +59,5 @@
     def is_fenced(self, status: int) -> bool:
         return status == _names.FENCED
 
-    def is_foreign(self, status: int) -> bool:
+    def is_misdirected(self, status: int) -> bool:
         return status == _names.MISDIRECTED
--- a/sedgetide/platform/_catalogue.py
+++ b/sedgetide/platform/_registry.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from sedgetide.backends.dialects import Catalogue
-from sedgetide.backends.dialects import EvacuationWish
+from sedgetide.backends.dialects import EvacuationRequest
+from sedgetide.backends.dialects import RegistryDialect
 from sedgetide.backends.dialects import UnreadableEntry
-from sedgetide.backends.dialects import Withdrawn
+from sedgetide.backends.dialects import UpstreamWithdrawn
 from sedgetide.coding.addresses import split_address
 from sedgetide.core.configuration.policy import CallerLimits
 from sedgetide.core.configuration.policy import Policy
@@ -21,10 +21,10 @@
 from sedgetide.core.errors import ErrorCode
 from sedgetide.core.errors import InputError
 from sedgetide.core.errors import Step
-from sedgetide.core.identifiers import BirthMark
 from sedgetide.core.identifiers import DataCentre
 from sedgetide.core.identifiers import RouteName
 from sedgetide.core.identifiers import ServiceName
+from sedgetide.core.identifiers import StartTime
 from sedgetide.core.identifiers import UpstreamName
 from sedgetide.core.identifiers import Version
 from sedgetide.core.membership.directory import RegisteredUpstream
@@ -124,7 +124,7 @@
         entry.info.slots,
         entry.status.state == _LEAVING,
         entry.status.warmup_left_ms / 1000.0,
-        UNKNOWN_BIRTH if entry.born is None else BirthMark(entry.born),
+        UNKNOWN_BIRTH if entry.born is None else StartTime(entry.born),
     )
 
 
@@ -201,7 +201,7 @@
     )
 
 
-class PlatformCatalogue(Catalogue):
+class PlatformRegistry(RegistryDialect):
     """Items of the platform's store that others write."""
 
     def list_prefixes(self) -> Sequence[str]:
@@ -209,11 +209,17 @@
 
     def read(
         self, key: str, value: bytes | None
-    ) -> RegisteredUpstream | Withdrawn | EvacuationWish | Policy | None:
+    ) -> (
+        RegisteredUpstream
+        | UpstreamWithdrawn
+        | EvacuationRequest
+        | Policy
+        | None
+    ):
         if key.startswith(_names.EVACUATION_PREFIX):
             # That the item is there says all; nothing stands in it.
             name = key.removeprefix(_names.EVACUATION_PREFIX)
-            return EvacuationWish(DataCentre(name), value is not None)
+            return EvacuationRequest(DataCentre(name), value is not None)
         if key.startswith(_names.REGISTRY_PREFIX):
             name = UpstreamName(key.removeprefix(_names.REGISTRY_PREFIX))
             return _read_registered(key, name, value)
@@ -229,9 +235,9 @@
 
 def _read_registered(
     key: str, name: UpstreamName, value: bytes | None
-) -> RegisteredUpstream | Withdrawn:
+) -> RegisteredUpstream | UpstreamWithdrawn:
     if value is None:
-        return Withdrawn(name)
+        return UpstreamWithdrawn(name)
     try:
         return _read_entry(name, value)
     except _UNREADABLE as error:
--- a/sedgetide/platform/_requests.py
+++ b/sedgetide/platform/_requests.py
@@ -71,11 +71,11 @@
         kept.append((_names.EXPECT_INSTANCE, upstream))
         return kept
 
-    def find_request(self, headers: Headers) -> RequestId | None:
+    def read_request_id(self, headers: Headers) -> RequestId | None:
         found = find_header(headers, _names.REQUEST_ID.lower())
         return None if found is None else RequestId(found)
 
-    def judge(self, status: int, headers: Headers) -> Failure:
+    def classify_answer(self, status: int, headers: Headers) -> Failure:
         if self.is_not_run(status, headers):
             if status == _names.MISDIRECTED:
                 return Failure.NOT_OWNER
--- a/sedgetide/platform/_store.py
+++ b/sedgetide/platform/_store.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from sedgetide.backends.eras import EraWatch
+from sedgetide.backends.eras import EraTracker
 from sedgetide.backends.leasestore import Item
 from sedgetide.backends.leasestore import LeaseId
 from sedgetide.backends.leasestore import LeaseStore
@@ -94,11 +94,11 @@
         ``IP:port``.
     timeout : float
         Seconds to wait for an answer, besides a watch's own wait.
-    eras : EraWatch
+    eras : EraTracker
         Told of the era of each answer.
     """
 
-    def __init__(self, address: str, timeout: float, eras: EraWatch) -> None:
+    def __init__(self, address: str, timeout: float, eras: EraTracker) -> None:
         self._address = address
         self._eras = eras
         self._timeout = timeout
--- a/sedgetide/runtime/events.py
+++ b/sedgetide/runtime/events.py
@@ -403,7 +403,7 @@
 _FIELDS = {event: frozenset(event.value.fields) for event in Event}
 
 
-def tell(event: Event, **fields: Any) -> None:
+def log_event(event: Event, **fields: Any) -> None:
     """Log an event.
 
     Raises
--- a/sedgetide/runtime/signals.py
+++ b/sedgetide/runtime/signals.py
@@ -3,13 +3,13 @@
 from gevent.event import Event
 
 
-class Changes:
+class ChangeSignal:
     """Lets any number of greenlets wait for the next change."""
 
     def __init__(self) -> None:
         self._event = Event()
 
-    def announce(self) -> None:
+    def notify_all(self) -> None:
         """Wake all who wait now."""
         event, self._event = self._event, Event()
         event.set()
--- a/sedgetide/testing/directentry.py
+++ b/sedgetide/testing/directentry.py
@@ -12,8 +12,8 @@
 import falcon
 
 from sedgetide.backends.httpupstream import HttpUpstream
-from sedgetide.backends.upstream import Order
-from sedgetide.backends.upstream import Work
+from sedgetide.backends.upstream import OrderContext
+from sedgetide.backends.upstream import UpstreamRequest
 from sedgetide.core.identifiers import Epoch
 from sedgetide.testing import serving
 
@@ -31,7 +31,7 @@
         self, request: falcon.Request, response: falcon.Response, **_: Any
     ) -> None:
         """Pass a request on and its answer back."""
-        work = Work(
+        work = UpstreamRequest(
             f"direct-{next(self._numbers)}",
             request.method,
             request.path,
@@ -41,7 +41,7 @@
             Epoch(0),
             _FOREVER,
         )
-        order = Order("direct", "0", float("inf"))
+        order = OrderContext("direct", "0", float("inf"))
         result = self._client.run(order, work, _TIMEOUT, fresh=False)
         response.status = result.answer.status
         response.data = result.answer.body
--- a/sedgetide/testing/faults.py
+++ b/sedgetide/testing/faults.py
@@ -48,7 +48,7 @@
 
     def arrive() -> None:
         for keeper in world.keepers.values():
-            keeper.take_text(text, text_revision)
+            keeper.apply_configuration(text, text_revision)
             keeper.take_record(assignment, revision)
 
     scenario.later(scenario.pause, arrive)
--- a/sedgetide/testing/ownershipworld.py
+++ b/sedgetide/testing/ownershipworld.py
@@ -32,6 +32,7 @@
 from sedgetide.core.identifiers import ServiceName
 from sedgetide.core.ownership.leadership import Durations
 from sedgetide.core.ownership.leadership import Leadership
+from sedgetide.core.ownership.move_observations import MoveObservations
 from sedgetide.core.ownership.ranges import ALL_KEYS
 from sedgetide.core.ownership.ranges import KeyRange
 from sedgetide.core.ownership.ranges import LAST_KEY
@@ -40,12 +41,11 @@
 from sedgetide.core.ownership.ranges import Tenure
 from sedgetide.core.ownership.recovery import find_first_fence
 from sedgetide.core.ownership.recovery import Recovery
-from sedgetide.core.ownership.sightings import MoveSightings
 from sedgetide.core.ownership.terms import Grant
 from sedgetide.core.ownership.terms import Term
-from sedgetide.daemons._records import make_leader_key
-from sedgetide.daemons._records import make_ranges_key
-from sedgetide.daemons._records import read_key
+from sedgetide.daemons._recordkeys import make_leader_key
+from sedgetide.daemons._recordkeys import make_ranges_key
+from sedgetide.daemons._recordkeys import parse_key
 from sedgetide.testing.leasestore import LeaseStoreModel
 from sedgetide.testing.leasestore import StoreCopy
 from sedgetide.testing.rangeholder import RangeHolder
@@ -96,7 +96,7 @@
         self.table = RangeTable()
         self.position: Position = NO_POSITION
         self.recovery: Recovery | None = None
-        self.sightings = MoveSightings()
+        self.sightings = MoveObservations()
         self.verified_at = -_NEVER
         self.renewed_at: dict[IncarnationName, float] = {}
 
@@ -265,7 +265,7 @@
         if reached and self.random.random() < host.follows:
             self._follow(host)
         leadership = host.leadership
-        if leadership.outlived and not leadership.may_order(self.now):
+        if leadership.era_ended and not leadership.may_order(self.now):
             leadership.end()
         if leadership.term == NO_POSITION:
             vacant = self.store.find(make_leader_key(self.store.era)) is None
@@ -273,7 +273,7 @@
                 self._stand(host)
             return
         due = self.now - host.verified_at >= self.durations.verify
-        if reached and due and not leadership.outlived:
+        if reached and due and not leadership.era_ended:
             self._verify(host)
         if leadership.may_order(self.now):
             self._lead(host)
@@ -282,7 +282,7 @@
         """Read all tables that the store has; older ones are hints."""
         host.note_era(self.store.era)
         for item in self.store.list("").items:
-            name = read_key(item.key)
+            name = parse_key(item.key)
             if name is not None and name.service is not None:
                 written_at = Position(name.era, item.position.revision)
                 host.adopt(decode_ranges(item.value), written_at, self.now)
@@ -307,7 +307,7 @@
     def _verify(self, host: WorldHost) -> None:
         host.verified_at = self.now
         host.note_era(self.store.era)
-        if host.leadership.outlived:
+        if host.leadership.era_ended:
             return
         try:
             self.store.renew_lease(host.lease, self.now)
@@ -330,7 +330,7 @@
     def _lead(self, host: WorldHost) -> None:
         if not host.owns_table() and not self._recover(host):
             return
-        if not host.leadership.outlived:
+        if not host.leadership.era_ended:
             self._plan(host)
         for tenure in host.table.list_moving():
             self._move(host, tenure)
@@ -343,7 +343,7 @@
 
     def _recover(self, host: WorldHost) -> bool:
         """Begin the table of an era; return whether it is there."""
-        if host.leadership.outlived:
+        if host.leadership.era_ended:
             return False
         era = host.leadership.term.era
         if era == FIRST_ERA:
@@ -351,7 +351,7 @@
             return host.owns_table()
         first = find_first_fence(era)
         recovery = host.recovery
-        for name in recovery.list_open(self.holders, self.now):
+        for name in recovery.list_pending_releases(self.holders, self.now):
             reached = self.now >= host.unreachable.get(name, 0.0)
             if reached and self.random.random() < 0.4:
                 self._give_back(host, name, Fence(first + 1))
--- a/sedgetide/testing/platformstore.py
+++ b/sedgetide/testing/platformstore.py
@@ -29,7 +29,7 @@
 from sedgetide.core.history import FIRST_ERA
 from sedgetide.core.identifiers import Revision
 from sedgetide.platform import _names
-from sedgetide.runtime.signals import Changes
+from sedgetide.runtime.signals import ChangeSignal
 from sedgetide.testing.leasestore import LeaseStoreModel
 from sedgetide.testing.leasestore import StoreCopy
 from sedgetide.testing.leasestore import StoreFault
@@ -93,7 +93,7 @@
         self._copies: collections.deque[_Copy] = collections.deque(
             maxlen=_COPIES
         )
-        self._changes = Changes()
+        self._changes = ChangeSignal()
         # What operators wrote last, whatever became of it.
         self._wanted: dict[str, bytes | None] = {}
         self._entries: dict[str, LeaseId] = {}
@@ -146,7 +146,7 @@
             return _answer(404)
         except HistoryLost:
             return _answer(410)
-        self._changes.announce()
+        self._changes.notify_all()
         return answer
 
     def _query(self, request: Request) -> dict[str, str]:
@@ -288,7 +288,7 @@
         self.model.restore(copy.store, time.monotonic())
         self._entries = dict(copy.entries)
         self._copies.clear()
-        self._changes.announce()
+        self._changes.notify_all()
         for key in self._wanted:
             gevent.spawn_later(
                 random.uniform(0.0, _WRITTEN_AGAIN), self._write_again, key
@@ -300,7 +300,7 @@
         value = self._wanted[key]
         if value != (None if found is None else found.value):
             self.model.put(key, value)
-            self._changes.announce()
+            self._changes.notify_all()
 
     def copy_loop(self) -> None:
         """Keep copies of the last seconds."""
@@ -318,7 +318,7 @@
             before = self.model.revision
             self.model.expire(time.monotonic())
             if self.model.revision != before:
-                self._changes.announce()
+                self._changes.notify_all()
 
 
 def main() -> int:
--- a/sedgetide/testing/rangeupstream.py
+++ b/sedgetide/testing/rangeupstream.py
@@ -22,7 +22,7 @@
 from sedgetide.core.identifiers import Key
 from sedgetide.core.ownership.ranges import KeyRange
 from sedgetide.platform import _names
-from sedgetide.runtime.signals import Changes
+from sedgetide.runtime.signals import ChangeSignal
 from sedgetide.testing.coldness import Coldness
 from sedgetide.testing.coldness import Pace
 from sedgetide.testing.rangeholder import RangeHolder
@@ -114,7 +114,7 @@
         self._slots = BoundedSemaphore(options.slots)
         self._waiting = 0
         self._running = 0
-        self._ended = Changes()
+        self._ended = ChangeSignal()
         self._random = random.Random(options.name)
         self._registry = ConnectionPool(options.store, 65536)
         self._coldness = Coldness(options.cold, options.most_cold)
@@ -221,7 +221,7 @@
         finally:
             self._running -= 1
             self._holder.running.remove(Key(key))
-            self._ended.announce()
+            self._ended.notify_all()
             self._tell("end", number, key, fence)
         body = f"{number} {key} ".encode() * 20
         failed = self._random.random() < self._options.failing
--- a/sedgetide/testing/scenarios.py
+++ b/sedgetide/testing/scenarios.py
@@ -298,7 +298,7 @@
                     continue
                 if not self.world.reaches(keeper.host, name):
                     continue
-                if lease.find_obstacle(key, now + 1.0, now) is None:
+                if lease.find_refusal_reason(key, now + 1.0, now) is None:
                     return True
         return False
 
--- a/sedgetide/testing/serving.py
+++ b/sedgetide/testing/serving.py
@@ -62,7 +62,7 @@
 
 @contextlib.contextmanager
 def serve(application: Callable[..., Iterable[bytes]]) -> Iterator[str]:
-    """Serve in this process for the length of a block.
+    """RequestHandler in this process for the length of a block.
 
     Yields
     ------
@@ -85,7 +85,7 @@
     port: int,
     connections: int = 10_000,
 ) -> int:
-    """Serve until SIGTERM; print the address once listening.
+    """RequestHandler until SIGTERM; print the address once listening.
 
     Parameters
     ----------
--- a/sedgetide/testing/storemodel.py
+++ b/sedgetide/testing/storemodel.py
@@ -15,7 +15,7 @@
     Attributes
     ----------
     LOST_REPLY
-        Changes take effect, but their answers never arrive.
+        WatchResult take effect, but their answers never arrive.
     """
 
     NONE = "none"
--- a/sedgetide/testing/upstream.py
+++ b/sedgetide/testing/upstream.py
@@ -177,8 +177,8 @@
         environ: dict[str, Any],
         start_response: serving.StartResponse,
     ) -> Iterable[bytes]:
-        number = _find_header(environ, protocol.HEADER_NUMBER)
-        own = [(protocol.HEADER_NUMBER, number)]
+        number = _find_header(environ, protocol.HEADER_REQUEST_ID)
+        own = [(protocol.HEADER_REQUEST_ID, number)]
         body = environ["wsgi.input"].read()
         declined = self._judge(environ)
         if declined:
--- a/sedgetide/testing/world.py
+++ b/sedgetide/testing/world.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
+from sedgetide.core.configuration.records import build_assignment_key
 from sedgetide.core.configuration.records import CONFIGURATION_KEY
-from sedgetide.core.configuration.records import name_assignment
 from sedgetide.core.configuration.records import Record
 from sedgetide.core.configuration.records import RecordCache
 from sedgetide.core.configuration.services import Service
@@ -27,17 +27,17 @@
 from sedgetide.core.identifiers import ServiceName
 from sedgetide.core.identifiers import Shard
 from sedgetide.core.identifiers import UpstreamName
+from sedgetide.core.membership.datacentre import AssignmentChange
 from sedgetide.core.membership.datacentre import DataCentreView
-from sedgetide.core.membership.datacentre import Plan
 from sedgetide.core.membership.liveness import Liveness
 from sedgetide.core.ownership.assignment import Assignment
 from sedgetide.core.ownership.assignment import EMPTY_ASSIGNMENT
 from sedgetide.core.ownership.assignment import Member
 from sedgetide.core.ownership.assignment import ShardKey
 from sedgetide.core.ownership.grants import Token
-from sedgetide.core.ownership.leasing import Answer
-from sedgetide.core.ownership.leasing import Call
-from sedgetide.core.ownership.leasing import CallKind
+from sedgetide.core.ownership.leasing import ControlAnswer
+from sedgetide.core.ownership.leasing import ControlCall
+from sedgetide.core.ownership.leasing import ControlCallKind
 from sedgetide.core.ownership.leasing import UpstreamLease
 from sedgetide.core.requests.operations import OperationLog
 from sedgetide.core.timing import Timing
@@ -48,7 +48,7 @@
 TICK = 0.05
 CENTRE = DataCentre("one")
 SERVICE = ServiceName("s")
-KEY = name_assignment(CENTRE)
+KEY = build_assignment_key(CENTRE)
 STORE = "store"
 WALL = 1_700_000_000.0
 _LOG_WINDOW = 600.0
@@ -105,16 +105,16 @@
         for call in buffer:
             call(now)
 
-    def order(self, call: Call, orderer: str, now: float, life: float):
+    def order(self, call: ControlCall, orderer: str, now: float, life: float):
         """Obey a control call now; return what the answer holds."""
         clock = self.clock.read(now)
         previous, held = self.model.orderer, self.model.measure_held(clock)
         refused: list[ShardKey] = []
-        if call.kind is CallKind.GRANT:
+        if call.kind is ControlCallKind.GRANT:
             previous, refused = self.model.grant(
                 orderer, call.token.stamp, life, call.shards, clock
             )
-        elif call.kind is CallKind.RELEASE:
+        elif call.kind is ControlCallKind.RELEASE:
             refused = self.model.release(call.shards)
         stamp = self.model.issue_stamp(clock)
         return stamp, previous, held, frozenset(refused)
@@ -148,8 +148,8 @@
         self.cache = RecordCache()
         self.leases: dict[UpstreamName, UpstreamLease] = {}
         self.logs: dict[UpstreamName, OperationLog] = {}
-        self.late: list[tuple[UpstreamName, Call, float]] = []
-        self.late_plan: Plan | None = None
+        self.late: list[tuple[UpstreamName, ControlCall, float]] = []
+        self.late_plan: AssignmentChange | None = None
         self.pause_at_write = False
 
     @property
@@ -185,10 +185,10 @@
         """Take in an assignment as from the store or a peer."""
         self.view.take_assignment(assignment, revision)
 
-    def take_text(self, text: Text, revision: Revision) -> None:
+    def apply_configuration(self, text: Text, revision: Revision) -> None:
         """Take in a text unless a newer one is in force."""
         if self.cache.apply(Record(CONFIGURATION_KEY, revision, b"")):
-            self.view.take_text(text)
+            self.view.apply_configuration(text)
 
     def tick(self) -> None:
         """Do one round of everything the daemon's loops do."""
@@ -225,18 +225,18 @@
             )
             self.take_record(peer.view.assignment, peer.view.revision)
             if peer.view.text is not None:
-                self.take_text(peer.view.text, peer.text_revision)
+                self.apply_configuration(peer.view.text, peer.text_revision)
 
     def _ask_store(self, now: float) -> None:
-        self.view.store_away = not self.world.reaches_store(self.host)
-        if self.view.store_away:
+        self.view.store_unavailable = not self.world.reaches_store(self.host)
+        if self.view.store_unavailable:
             return
         assignment, revision = self.world.read_assignment()
         if revision:
             self.take_record(assignment, revision)
         self.view.authority.note_store(now, revision)
         if self.world.text_revision:
-            self.take_text(self.world.text, self.world.text_revision)
+            self.apply_configuration(self.world.text, self.world.text_revision)
 
     def _claim(self, now: float) -> None:
         wanted = self.view.list_kept(now)
@@ -263,7 +263,9 @@
         )
         self.logs[name] = OperationLog(_LOG_WINDOW, _LOG_SIZE, _CLOCK_SKEW)
 
-    def send(self, name: UpstreamName, call: Call, asked_at: float) -> bool:
+    def send(
+        self, name: UpstreamName, call: ControlCall, asked_at: float
+    ) -> bool:
         """Make a control call; return whether it was answered."""
         lease = self.leases[name]
         now = self.clock.read(self.world.now)
@@ -286,11 +288,11 @@
         found = upstream.order(call, self.orderer, self.world.now, life)
         stamp, previous, held, refused = found
         token = Token(stamp, asked_at, now, upstream.model.incarnation)
-        answer = Answer(token, previous, held, refused)
+        answer = ControlAnswer(token, previous, held, refused)
         log = self.logs[name]
         if lease.note_answer(call, answer):
             log.end_tenures()
-        if call.kind is CallKind.GRANT:
+        if call.kind is ControlCallKind.GRANT:
             for key, epoch in call.shards.items():
                 if key not in refused:
                     log.begin_tenure(key, epoch, self.world.wall)
@@ -308,14 +310,14 @@
             if lease.has_news():
                 peer.view.note_report(lease.make_report(), at)
 
-    def _write(self, plan: Plan) -> None:
+    def _write(self, plan: AssignmentChange) -> None:
         if self.pause_at_write:
             self.pause_at_write = False
             self.pause()
             self.late_plan = plan
             return
         if not self.world.reaches_store(self.host):
-            self.view.store_away = True
+            self.view.store_unavailable = True
             return
         revision = self.world.swap(plan.assignment, plan.expected)
         if revision is None or self.world.store_fault is StoreFault.LOST_REPLY:
--- a/sedgetide/testing/worldrequests.py
+++ b/sedgetide/testing/worldrequests.py
@@ -16,7 +16,7 @@
 from sedgetide.core.requests.outcomes import Phase
 from sedgetide.core.requests.outcomes import Reason
 from sedgetide.core.requests.outcomes import TRANSIENT_REASONS
-from sedgetide.core.requests.outcomes import UNSURE_REASONS
+from sedgetide.core.requests.outcomes import UNCERTAIN_REASONS
 from sedgetide.testing.callers import make_operation_id
 from sedgetide.testing.upstreammodel import JournalEntry
 from sedgetide.testing.upstreammodel import UpstreamModel
@@ -192,7 +192,7 @@
         now = keeper.clock.read(world.now)
         obstacle: Reason | None = Reason.NOT_KEEPER
         if lease is not None:
-            obstacle = lease.find_obstacle(
+            obstacle = lease.find_refusal_reason(
                 attempt.key, self._expires(attempt, keeper), now
             )
         if obstacle is not None:
@@ -336,7 +336,7 @@
         transient = reason in TRANSIENT_REASONS
         outcome = attempt.outcome = combine_outcomes(attempt.outcome, outcome)
         again = may_resend(outcome, attempt.idempotent) and (
-            transient or reason in UNSURE_REASONS
+            transient or reason in UNCERTAIN_REASONS
         )
         if again and self.world.now < attempt.deadline:
             attempt.phase = Phase.ACCEPTED
--- a/sedgetide/wire/client.py
+++ b/sedgetide/wire/client.py
@@ -258,7 +258,7 @@
         self._idle_life = min(_LONGEST_IDLE, seconds * _IDLE_SHARE)
 
     @property
-    def open_now(self) -> bool:
+    def is_open(self) -> bool:
         """Whether it has a socket."""
         return self._socket is not None
 
@@ -381,7 +381,7 @@
         """Keep a connection for the next request, if it is still open."""
         if self._closed:
             connection.close()
-        elif connection.open_now:
+        elif connection.is_open:
             self._idle.append(connection)
 
     def prune(self) -> None:
--- a/sedgetide/wire/server.py
+++ b/sedgetide/wire/server.py
@@ -12,7 +12,7 @@
 import h11
 
 from sedgetide.core.configuration.policy import CallerLimits
-from sedgetide.core.requests.bodies import BodyAllowance
+from sedgetide.core.requests.bodylimits import BodyBudget
 from sedgetide.wire.client import set_probes
 from sedgetide.wire.messages import Answer
 from sedgetide.wire.messages import decode_headers
@@ -28,7 +28,7 @@
 
 _log = logging.getLogger(__name__)
 
-Serve = Callable[[Request], Answer]
+RequestHandler = Callable[[Request], Answer]
 
 
 class _Rejected(Exception):
@@ -67,22 +67,22 @@
         Whether a request may be worked on beside others of its connection.
     read_limits : callable
         Bounds now in force.
-    bodies : BodyAllowance or None
+    bodies : BodyBudget or None
         Bytes of bodies that may be in hand; None: any number.
     """
 
     def __init__(
         self,
-        serve: Serve,
+        serve: RequestHandler,
         is_idempotent: Callable[[Request], bool],
         read_limits: Callable[[], CallerLimits],
-        bodies: BodyAllowance | None = None,
+        bodies: BodyBudget | None = None,
     ) -> None:
-        self.bodies = bodies or BodyAllowance(_UNBOUNDED)
+        self.bodies = bodies or BodyBudget(_UNBOUNDED)
         self.serve = serve
         self.is_idempotent = is_idempotent
         self.read_limits = read_limits
-        self.sends_away = False
+        self.close_after_answer = False
         self.connections: set[CallerConnection] = set()
         self.in_hand = 0
         self._accepting: gevent.Greenlet | None = None
@@ -115,7 +115,7 @@
 
     def begin_stop(self) -> None:
         """Ask callers with each answer to go elsewhere."""
-        self.sends_away = True
+        self.close_after_answer = True
 
     def close_idle(self) -> None:
         """Close the connections on which nothing is asked."""
@@ -157,7 +157,7 @@
         self._held = 0
 
     def run(self) -> None:
-        """Serve until either side closes."""
+        """RequestHandler until either side closes."""
         try:
             set_probes(self._socket)
             self._reader = gevent.getcurrent()
@@ -349,7 +349,7 @@
                 self._moved.clear()
                 self._moved.wait()
             turn = self._turns[0]
-            last = self._server.sends_away or not turn.answer.reusable
+            last = self._server.close_after_answer or not turn.answer.reusable
             try:
                 self._socket.sendall(_format_answer(turn, last))
                 if last or turn.parser.our_state is not h11.DONE:
--- a/tests/backends/test_connection.py
+++ b/tests/backends/test_connection.py
@@ -9,8 +9,8 @@
 
 from sedgetide.backends._connection import HttpConnection
 from sedgetide.backends.httpupstream import HttpUpstream
-from sedgetide.backends.upstream import Order
-from sedgetide.backends.upstream import Work
+from sedgetide.backends.upstream import OrderContext
+from sedgetide.backends.upstream import UpstreamRequest
 from sedgetide.core.errors import ErrorCode
 from sedgetide.core.errors import UpstreamError
 from sedgetide.core.identifiers import Epoch
@@ -131,8 +131,8 @@
         )
         server = self.serve(answer)
         client = HttpUpstream(server.address, LIMIT, 1.0)
-        work = Work("own", "GET", "/", [], b"", None, Epoch(0), 1.0)
-        order = Order("k", "0", float("inf"))
+        work = UpstreamRequest("own", "GET", "/", [], b"", None, Epoch(0), 1.0)
+        order = OrderContext("k", "0", float("inf"))
         with contextlib.closing(client):
             error = self.assertRaises(
                 UpstreamError, client.run, order, work, 1.0, False
@@ -149,8 +149,8 @@
         )
         server = self.serve(answer)
         client = HttpUpstream(server.address, LIMIT, 1.0)
-        work = Work("n", "POST", "/", [], b"", None, Epoch(0), 1.0)
-        order = Order("k", "0", float("inf"))
+        work = UpstreamRequest("n", "POST", "/", [], b"", None, Epoch(0), 1.0)
+        order = OrderContext("k", "0", float("inf"))
         with contextlib.closing(client):
             client.run(order, work, 1.0, fresh=True)
             client.run(order, work, 1.0, fresh=True)
@@ -218,10 +218,12 @@
 class CrossedAnswersTest(testtools.TestCase):
     def ask_twice(self, client):
         """Let a first request time out; return the answer to a second."""
-        order = Order("k", "0", float("inf"))
+        order = OrderContext("k", "0", float("inf"))
 
         def run(number, timeout):
-            work = Work(number, "GET", "/", [], b"", None, Epoch(0), 1.0)
+            work = UpstreamRequest(
+                number, "GET", "/", [], b"", None, Epoch(0), 1.0
+            )
             return client.run(order, work, timeout, fresh=False)
 
         self.assertRaises(UpstreamError, run, "1", 0.05)
--- a/tests/coding/test_settings.py
+++ b/tests/coding/test_settings.py
@@ -15,7 +15,7 @@
 from sedgetide.coding.settings import load_settings
 from sedgetide.core.errors import InputError
 from sedgetide.core.membership.evacuations import Evacuations
-from sedgetide.core.requests.cold import bound_cold_sends
+from sedgetide.core.requests.coldstart import compute_cold_send_limit
 
 ROOT = pathlib.Path(__file__).parents[2]
 TEMPLATE = (ROOT / "deploy" / "settings.json.template").read_text()
@@ -102,18 +102,20 @@
         found = load(figures)
         durations = found.fit_durations()
         self.assertGreater(durations.renew, 0.3)
-        self.assertGreaterEqual(found.processor_time, 0)
-        bound = bound_cold_sends(4.2, found.cold_overrun, found.cold_slack)
+        self.assertGreaterEqual(found.available_cores, 0)
+        bound = compute_cold_send_limit(
+            4.2, found.cold_overrun, found.cold_slack
+        )
         self.assertGreaterEqual(bound, 0)
         evacuations = Evacuations(found.evacuate_ms / 1000.0)
-        evacuations.ask("north", 9.0, 10.0)
-        self.assertTrue(evacuations.is_asked("north"))
+        evacuations.start("north", 9.0, 10.0)
+        self.assertTrue(evacuations.is_evacuating("north"))
 
     def test_figures_reach_their_settings(self):
         found = load({**USUAL, "bounds.retry-budget-slack": 30.71})
         self.assertEqual(30.71, found.retry_slack)
         self.assertEqual(6.0, found.grace)
-        self.assertAlmostEqual(0.43, found.processor_time)
+        self.assertAlmostEqual(0.43, found.available_cores)
         self.assertEqual(5000.0, found.evacuate_ms)
         self.assertEqual(1.5, found.cold_overrun)
         self.assertEqual(8.0, found.cold_slack)
--- a/tests/core/membership/test_directory.py
+++ b/tests/core/membership/test_directory.py
@@ -2,8 +2,8 @@
 
 import testtools
 
-from sedgetide.core.membership.directory import Directory
 from sedgetide.core.membership.directory import RegisteredUpstream
+from sedgetide.core.membership.directory import UpstreamDirectory
 from sedgetide.core.membership.incarnations import UNKNOWN_BIRTH
 
 
@@ -16,7 +16,7 @@
 
     def setUp(self):
         super().setUp()
-        self.directory = Directory(grace=2.0)
+        self.directory = UpstreamDirectory(grace=2.0)
         self.directory.put(make_upstream("u-1"), 100.0)
         self.directory.put(make_upstream("u-2"), 100.0)
 
@@ -36,7 +36,7 @@
         # The store was away, no upstream could renew its entry, and the
         # store shows them all as gone when it is back. Believed at once,
         # every key would lose its owner though all owners are well.
-        self.directory.note_disturbance(110.0)
+        self.directory.note_registry_outage(110.0)
         self.directory.remove("u-1", 110.1)
         self.directory.remove("u-2", 110.1)
         self.assertEqual(["u-1", "u-2"], self.list_names())
@@ -46,7 +46,7 @@
 
     def test_announced_end_needs_no_grace(self):
         self.directory.put(make_upstream("u-1", leaving=True), 109.0)
-        self.directory.note_disturbance(110.0)
+        self.directory.note_registry_outage(110.0)
         self.directory.remove("u-1", 110.1)
         self.assertIsNone(self.directory.find("u-1"))
 
@@ -61,12 +61,14 @@
         address = "10.0.0.1:80"
         self.directory.remove("u-1", 101.0)
         self.directory.remove("u-2", 101.0)
-        self.assertFalse(self.directory.has_successor("u-1", address))
+        self.assertFalse(self.directory.is_address_reused("u-1", address))
         self.directory.put(make_upstream("u-9"), 103.0)
-        self.assertTrue(self.directory.has_successor("u-1", address))
+        self.assertTrue(self.directory.is_address_reused("u-1", address))
 
     def test_present_owner_has_no_successor(self):
-        self.assertFalse(self.directory.has_successor("u-1", "10.0.0.1:80"))
+        self.assertFalse(
+            self.directory.is_address_reused("u-1", "10.0.0.1:80")
+        )
 
     def test_older_entry_at_the_address_proves_no_end(self):
         # u-1 ended, and u-2 got its address. A writer that was cut off then
@@ -78,7 +80,9 @@
         self.directory.remove("u-2", 102.0)
         self.directory.put(make_upstream("u-1"), 103.0)
         self.directory.remove("u-5", 104.0)
-        self.assertFalse(self.directory.has_successor("u-5", "10.0.0.1:80"))
+        self.assertFalse(
+            self.directory.is_address_reused("u-5", "10.0.0.1:80")
+        )
 
 
 def make_start(born, address="10.0.0.1:80", leaving=False):
@@ -92,7 +96,7 @@
 
     def setUp(self):
         super().setUp()
-        self.directory = Directory(grace=2.0)
+        self.directory = UpstreamDirectory(grace=2.0)
         self.directory.put(make_start(5000), 100.0)
         self.first = self.directory.find_current("u-1").name
 
@@ -121,14 +125,14 @@
     def test_restart_at_its_address_proves_the_end_of_the_start_before(self):
         self.directory.put(make_start(9000), 101.0)
         self.assertTrue(
-            self.directory.has_successor(self.first, "10.0.0.1:80")
+            self.directory.is_address_reused(self.first, "10.0.0.1:80")
         )
 
     def test_restart_elsewhere_proves_nothing(self):
         # The start before may serve on behind a cut.
         self.directory.put(make_start(9000, "10.0.0.9:80"), 101.0)
         self.assertFalse(
-            self.directory.has_successor(self.first, "10.0.0.1:80")
+            self.directory.is_address_reused(self.first, "10.0.0.1:80")
         )
 
     def test_entry_without_a_birth_is_of_another_writer(self):
@@ -141,26 +145,28 @@
 
     def setUp(self):
         super().setUp()
-        self.directory = Directory(grace=2.0)
+        self.directory = UpstreamDirectory(grace=2.0)
         self.directory.put(make_upstream("u-1"), 100.0)
 
     def test_upstream_gets_nothing_new_but_is_not_gone(self):
         # Another writer overwrites the entry of an upstream that serves.
         # Taken for gone, its keys would get a second owner at once.
-        self.directory.discredit("u-1", 101.0)
+        self.directory.mark_unreadable("u-1", 101.0)
         self.assertEqual([], self.directory.list_active("maps"))
         self.assertIsNone(self.directory.find_active("u-1"))
         self.assertIsNotNone(self.directory.find("u-1"))
-        self.assertFalse(self.directory.has_successor("u-1", "10.0.0.1:80"))
+        self.assertFalse(
+            self.directory.is_address_reused("u-1", "10.0.0.1:80")
+        )
 
     def test_next_good_entry_brings_it_back(self):
-        self.directory.discredit("u-1", 101.0)
+        self.directory.mark_unreadable("u-1", 101.0)
         self.directory.put(make_upstream("u-1"), 102.0)
         self.assertIsNotNone(self.directory.find_active("u-1"))
         self.assertEqual(102.0, self.directory.changed_at)
 
     def test_unknown_name_changes_nothing(self):
-        self.directory.discredit("u-7", 101.0)
+        self.directory.mark_unreadable("u-7", 101.0)
         self.assertEqual(100.0, self.directory.changed_at)
 
 
@@ -169,7 +175,7 @@
 
     def setUp(self):
         super().setUp()
-        self.directory = Directory(grace=2.0)
+        self.directory = UpstreamDirectory(grace=2.0)
         self.first = make_born("u-1", 5)
         self.directory.put(self.first, 100.0)
         self.assertTrue(self.directory.note_leaving(self.first.name))
--- a/tests/core/membership/test_evacuation_walk.py
+++ b/tests/core/membership/test_evacuation_walk.py
@@ -12,8 +12,8 @@
 import msgspec
 import testtools
 
-from sedgetide.core.membership.directory import Directory
 from sedgetide.core.membership.directory import RegisteredUpstream
+from sedgetide.core.membership.directory import UpstreamDirectory
 from sedgetide.core.membership.evacuations import Evacuations
 from sedgetide.core.ownership.ranges import KEY_COUNT
 from sedgetide.core.ownership.ranges import RangeTable
@@ -44,7 +44,7 @@
         self.restart(now)
 
     def restart(self, now):
-        self.directory = Directory(evacuations=Evacuations(ALLOWED))
+        self.directory = UpstreamDirectory(evacuations=Evacuations(ALLOWED))
         for name in CENTRES:
             entry = RegisteredUpstream(f"u-{name}", "maps", "1.1.1.1:1", name)
             self.directory.put(entry, now)
@@ -57,9 +57,9 @@
         evacuations = self.directory.evacuations
         for each in changes[self.known :]:
             if each.asked:
-                evacuations.ask(each.data_centre, self.heard_at, now)
+                evacuations.start(each.data_centre, self.heard_at, now)
             else:
-                evacuations.take_back(each.data_centre, now)
+                evacuations.cancel(each.data_centre, now)
         self.known = len(changes)
         self.heard_at = now
 
@@ -166,12 +166,12 @@
         self.check_found("may_serve", lambda *_: True)
 
     def test_wish_counts_from_when_it_is_heard(self):
-        real = Evacuations.ask
+        real = Evacuations.start
 
-        def ask(evacuations, data_centre, heard_at, now):
+        def start(evacuations, data_centre, heard_at, now):
             return real(evacuations, data_centre, now, now)
 
-        self.check_found("ask", ask)
+        self.check_found("start", start)
 
     def test_new_work_goes_there_as_long_as_owners_serve(self):
-        self.check_found("is_asked", lambda *_: False)
+        self.check_found("is_evacuating", lambda *_: False)
--- a/tests/core/membership/test_evacuations.py
+++ b/tests/core/membership/test_evacuations.py
@@ -4,8 +4,8 @@
 from hypothesis import strategies
 import testtools
 
-from sedgetide.core.membership.directory import Directory
 from sedgetide.core.membership.directory import RegisteredUpstream
+from sedgetide.core.membership.directory import UpstreamDirectory
 from sedgetide.core.membership.evacuations import Evacuations
 from sedgetide.core.ownership.ranges import RangeTable
 from sedgetide.core.requests.attempts import find_owner
@@ -25,8 +25,8 @@
         self.evacuations = Evacuations(ALLOWED)
 
     def test_owners_serve_for_half_of_the_time(self):
-        self.assertTrue(self.evacuations.ask("north", 99.9, 100.0))
-        self.assertTrue(self.evacuations.is_asked("north"))
+        self.assertTrue(self.evacuations.start("north", 99.9, 100.0))
+        self.assertTrue(self.evacuations.is_evacuating("north"))
         self.assertTrue(self.evacuations.may_serve("north", 102.4))
         self.assertFalse(self.evacuations.may_serve("north", 102.5))
         self.assertTrue(self.evacuations.may_serve("south", 102.5))
@@ -38,34 +38,34 @@
         it finds for a new one, the data centre would get requests for
         seconds more, long after operators believe it empty.
         """
-        self.evacuations.ask("north", NEVER, 100.0)
+        self.evacuations.start("north", NEVER, 100.0)
         self.assertFalse(self.evacuations.may_serve("north", 100.0))
 
     def test_wish_after_a_silence_is_as_old_as_the_silence(self):
-        self.evacuations.ask("north", 94.0, 100.0)
+        self.evacuations.start("north", 94.0, 100.0)
         self.assertFalse(self.evacuations.may_serve("north", 100.0))
 
     def test_repeated_wish_begins_nothing_anew(self):
-        self.evacuations.ask("north", 99.9, 100.0)
-        self.assertFalse(self.evacuations.ask("north", 102.0, 102.0))
+        self.evacuations.start("north", 99.9, 100.0)
+        self.assertFalse(self.evacuations.start("north", 102.0, 102.0))
         self.assertFalse(self.evacuations.may_serve("north", 102.6))
 
     def test_taken_back_and_asked_again(self):
-        self.evacuations.ask("north", 99.9, 100.0)
-        self.assertEqual(3.0, self.evacuations.take_back("north", 103.0))
+        self.evacuations.start("north", 99.9, 100.0)
+        self.assertEqual(3.0, self.evacuations.cancel("north", 103.0))
         self.assertTrue(self.evacuations.may_serve("north", 103.0))
-        self.assertEqual(103.0, self.evacuations.find_returned_at("north"))
-        self.evacuations.ask("north", 103.4, 103.5)
+        self.assertEqual(103.0, self.evacuations.find_cancelled_at("north"))
+        self.evacuations.start("north", 103.4, 103.5)
         self.assertTrue(self.evacuations.may_serve("north", 105.9))
         self.assertFalse(self.evacuations.may_serve("north", 106.0))
 
     def test_take_back_of_what_was_not_asked(self):
-        self.assertIsNone(self.evacuations.take_back("north", 103.0))
-        self.assertEqual(NEVER, self.evacuations.find_returned_at("north"))
+        self.assertIsNone(self.evacuations.cancel("north", 103.0))
+        self.assertEqual(NEVER, self.evacuations.find_cancelled_at("north"))
 
     def test_no_time_at_all(self):
         evacuations = Evacuations(0.0)
-        evacuations.ask("north", 100.0, 100.0)
+        evacuations.start("north", 100.0, 100.0)
         self.assertFalse(evacuations.may_serve("north", 100.0))
 
     @given(
@@ -87,12 +87,12 @@
             now += pause
             if asked:
                 asked_at = now if asked_at is None else asked_at
-                evacuations.ask("north", now - delay, now + delay / 2)
+                evacuations.start("north", now - delay, now + delay / 2)
                 late = asked_at + delay / 2 + ALLOWED
                 self.assertFalse(evacuations.may_serve("north", late))
             else:
                 asked_at = None
-                evacuations.take_back("north", now)
+                evacuations.cancel("north", now)
                 self.assertTrue(evacuations.may_serve("north", now))
 
 
@@ -102,7 +102,7 @@
     def setUp(self):
         super().setUp()
         self.evacuations = Evacuations(ALLOWED)
-        self.directory = Directory(evacuations=self.evacuations)
+        self.directory = UpstreamDirectory(evacuations=self.evacuations)
         for name, data_centre in (("n-1", "north"), ("s-1", "south")):
             self.put(name, data_centre)
         self.table = RangeTable().assign_first([("n-1", 1), ("s-1", 1)])
@@ -115,7 +115,7 @@
         return entry
 
     def test_no_new_work_at_once(self):
-        self.evacuations.ask("north", 10.0, 10.0)
+        self.evacuations.start("north", 10.0, 10.0)
         found = [each.name for each in self.directory.list_active("maps")]
         self.assertEqual(["s-1"], found)
         candidates = list_candidates(self.directory, "maps", (), 10.0)
@@ -123,21 +123,21 @@
         self.assertTrue(self.directory.is_evacuated("n-1"))
 
     def test_owner_serves_until_its_time_is_over(self):
-        self.evacuations.ask("north", 10.0, 10.0)
+        self.evacuations.start("north", 10.0, 10.0)
         found = find_owner(self.table, 5, self.directory, 12.0)
         self.assertIsInstance(found, Target)
         found = find_owner(self.table, 5, self.directory, 12.6)
         self.assertIs(Wait.OWNER_GONE, found)
 
     def test_upstream_that_starts_there_meanwhile_gets_nothing(self):
-        self.evacuations.ask("north", 10.0, 10.0)
+        self.evacuations.start("north", 10.0, 10.0)
         self.put("n-2", "north", now=11.0)
         found = [each.name for each in self.directory.list_active("maps")]
         self.assertEqual(["s-1"], found)
 
     def test_all_data_centres_at_once(self):
         for name in ("north", "south"):
-            self.evacuations.ask(name, 10.0, 10.0)
+            self.evacuations.start(name, 10.0, 10.0)
         self.assertEqual([], self.directory.list_active("maps"))
         for key in (5, 65535):
             found = find_owner(self.table, key, self.directory, 12.6)
@@ -150,8 +150,8 @@
         requests and it ends under them before its entry is read.
         """
         entry = self.put("n-1", "north")
-        self.evacuations.ask("north", 10.0, 10.0)
-        self.evacuations.take_back("north", 20.0)
+        self.evacuations.start("north", 10.0, 10.0)
+        self.evacuations.cancel("north", 20.0)
         self.assertTrue(self.directory.is_cold(entry, 3.0, 22.9))
         self.assertFalse(self.directory.is_cold(entry, 3.0, 23.0))
         other = self.directory.find("s-1")
--- a/tests/core/membership/test_lenders.py
+++ b/tests/core/membership/test_lenders.py
@@ -7,10 +7,10 @@
 from sedgetide.core.identifiers import ServiceName
 from sedgetide.core.identifiers import UpstreamName
 from sedgetide.core.membership.directory import RegisteredUpstream
+from sedgetide.core.membership.lenders import HostStatus
 from sedgetide.core.membership.lenders import LenderList
+from sedgetide.core.membership.lenders import LenderSelector
 from sedgetide.core.membership.lenders import LendingHost
-from sedgetide.core.membership.lenders import Roster
-from sedgetide.core.membership.lenders import Standing
 
 NORTH, SOUTH = DataCentre("north"), DataCentre("south")
 
@@ -35,14 +35,14 @@
 class TestRoster(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.roster = Roster(LenderList(), 0.0)
+        self.roster = LenderSelector(LenderList(), 0.0)
 
     def report(self, count, now, data_centre=NORTH, weak=()):
         for index in range(count):
             power = 0.4 if index in weak else 2.0
             self.roster.note(
                 make_link(index, data_centre),
-                Standing(data_centre, power),
+                HostStatus(data_centre, power),
                 now,
             )
 
@@ -72,18 +72,18 @@
         upstreams = make_upstreams(20, slots=6)
         found = self.roster.choose(upstreams, 2.0, upstreams)
         self.assertEqual(1, len(found.hosts))
-        self.assertTrue(found.bounded_only)
+        self.assertTrue(found.rate_limited_only)
         # Lending there is no reason to lend everywhere with half the hosts.
         self.report(5, 2.4)
         self.assertTrue(
-            self.roster.choose(upstreams, 2.4, upstreams).bounded_only
+            self.roster.choose(upstreams, 2.4, upstreams).rate_limited_only
         )
 
     def test_many_hosts_before_cold_upstreams(self):
         self.report(10, 2.0)
         keyed, plain = make_upstreams(20), make_upstreams(3, SOUTH)
         found = self.roster.choose(keyed, 2.0, plain)
-        self.assertFalse(found.bounded_only)
+        self.assertFalse(found.rate_limited_only)
         self.assertEqual(2, len(found.hosts))
 
     def test_strong_hosts_near_the_upstreams_lend(self):
@@ -110,7 +110,7 @@
             for index in range(10):
                 if make_link(index) != lost:
                     self.roster.note(
-                        make_link(index), Standing(NORTH, 2.0), now
+                        make_link(index), HostStatus(NORTH, 2.0), now
                     )
         (chosen,) = self.choose(make_upstreams(10), 3.6)
         self.assertNotEqual(lost, chosen)
@@ -118,7 +118,7 @@
     def test_host_about_to_stop_lends_no_more(self):
         self.report(10, 2.0)
         (stopping,) = self.choose(make_upstreams(10), 2.0)
-        self.roster.note(stopping, Standing(NORTH, 0.0), 2.1)
+        self.roster.note(stopping, HostStatus(NORTH, 0.0), 2.1)
         self.assertNotIn(stopping, self.choose(make_upstreams(10), 2.1))
 
     def test_new_leader_keeps_the_lenders_until_all_have_reported(self):
@@ -128,7 +128,7 @@
         other. Naming lenders by the first reports would move every queue.
         """
         named = LenderList((LendingHost(make_link(7), NORTH),))
-        self.roster = Roster(named, 10.0)
+        self.roster = LenderSelector(named, 10.0)
         self.report(3, 10.4)
         self.assertEqual([make_link(7)], self.choose(make_upstreams(10), 10.4))
         self.report(10, 11.4)
@@ -160,5 +160,5 @@
         self.assertEqual(again.version, self.list.version)
         self.assertNotEqual(fewer.version, self.list.version)
         self.assertEqual(0, LenderList().version)
-        bounded_only = LenderList(self.list.hosts, True)
-        self.assertNotEqual(bounded_only.version, self.list.version)
+        rate_limited_only = LenderList(self.list.hosts, True)
+        self.assertNotEqual(rate_limited_only.version, self.list.version)
--- a/tests/core/membership/test_partitions.py
+++ b/tests/core/membership/test_partitions.py
@@ -23,13 +23,13 @@
         # its callers reach it. They were refused for as long as it lasted:
         # first what is owned elsewhere, two thirds, then nearly all.
         self.fail()
-        self.assertFalse(self.detector.should_leave(100.0, 101.0))
-        self.assertTrue(self.detector.should_leave(100.0, 101.6))
+        self.assertFalse(self.detector.should_withdraw(100.0, 101.0))
+        self.assertTrue(self.detector.should_withdraw(100.0, 101.6))
 
     def test_it_is_back_as_soon_as_it_hears_the_store(self):
         self.fail()
-        self.detector.should_leave(100.0, 102.0)
-        self.assertFalse(self.detector.should_leave(105.0, 105.1))
+        self.detector.should_withdraw(100.0, 102.0)
+        self.assertFalse(self.detector.should_withdraw(105.0, 105.1))
 
     def test_lost_store_alone_is_no_reason(self):
         # All hosts are without the store. They reach all upstreams, and
@@ -37,28 +37,28 @@
         self.fail()
         self.detector.note_reached("there", 102.0)
         self.fail(1)
-        self.assertFalse(self.detector.should_leave(100.0, 102.5))
-        self.assertFalse(self.detector.should_leave(100.0, 109.0))
+        self.assertFalse(self.detector.should_withdraw(100.0, 102.5))
+        self.assertFalse(self.detector.should_withdraw(100.0, 109.0))
 
     def test_cut_neighbour_alone_is_no_reason(self):
         self.fail()
-        self.assertFalse(self.detector.should_leave(104.8, 105.0))
+        self.assertFalse(self.detector.should_withdraw(104.8, 105.0))
 
     def test_lost_upstreams_of_the_own_data_centre_are_no_reason(self):
         self.fail(data_centre="here")
-        self.assertFalse(self.detector.should_leave(100.0, 105.0))
+        self.assertFalse(self.detector.should_withdraw(100.0, 105.0))
 
     def test_it_stays_while_it_serves_most(self):
         self.fail(5)
         for _ in range(40):
             self.detector.note_end(True)
-        self.assertFalse(self.detector.should_leave(100.0, 105.0))
+        self.assertFalse(self.detector.should_withdraw(100.0, 105.0))
 
     def test_when_all_are_cut_off_it_comes_back(self):
         # Sent away by all data centres, callers would be served by none.
         self.fail()
-        self.assertTrue(self.detector.should_leave(100.0, 102.0))
-        self.assertTrue(self.detector.should_leave(100.0, 111.9))
-        self.assertFalse(self.detector.should_leave(100.0, 112.1))
-        self.assertFalse(self.detector.should_leave(100.0, 141.0))
-        self.assertTrue(self.detector.should_leave(100.0, 142.2))
+        self.assertTrue(self.detector.should_withdraw(100.0, 102.0))
+        self.assertTrue(self.detector.should_withdraw(100.0, 111.9))
+        self.assertFalse(self.detector.should_withdraw(100.0, 112.1))
+        self.assertFalse(self.detector.should_withdraw(100.0, 141.0))
+        self.assertTrue(self.detector.should_withdraw(100.0, 142.2))
--- a/tests/core/ownership/test_assignment.py
+++ b/tests/core/ownership/test_assignment.py
@@ -17,7 +17,7 @@
 from sedgetide.core.ownership.assignment import Member
 from sedgetide.core.ownership.assignment import ShardKey
 from sedgetide.core.ownership.planning import plan_change
-from sedgetide.core.ownership.planning import Situation
+from sedgetide.core.ownership.planning import PlanningInput
 
 S = ServiceName("s")
 KEYS = [ShardKey(S, Shard(number)) for number in range(4)]
@@ -75,7 +75,7 @@
     def plan(self, assignment, **situation):
         situation.setdefault("wanted", {S: KEYS})
         situation.setdefault("takers", {S: [U, V]})
-        return plan_change(assignment, Situation(**situation), CHANGE)
+        return plan_change(assignment, PlanningInput(**situation), CHANGE)
 
     def test_founds_the_member_list_first(self):
         planned = self.plan(EMPTY_ASSIGNMENT, joiners={A: MEMBER})
@@ -105,8 +105,10 @@
         joiners = {A: MEMBER, B: MEMBER, HostName("c"): MEMBER}
         assignment = make_owned()
         self.assertIsNone(self.plan(assignment, joiners=joiners))
-        planned = self.plan(assignment, joiners=joiners, list_known=True)
+        planned = self.plan(
+            assignment, joiners=joiners, member_list_known=True
+        )
         self.assertEqual({A, B}, set(planned.members))
 
     def test_nothing_to_change(self):
-        self.assertIsNone(self.plan(make_owned(), list_known=True))
+        self.assertIsNone(self.plan(make_owned(), member_list_known=True))
--- a/tests/core/ownership/test_balance.py
+++ b/tests/core/ownership/test_balance.py
@@ -2,12 +2,12 @@
 
 import testtools
 
-from sedgetide.core.ownership.balance import bound_moves
 from sedgetide.core.ownership.balance import count_empty
+from sedgetide.core.ownership.balance import EligibleUpstream
+from sedgetide.core.ownership.balance import max_concurrent_moves
 from sedgetide.core.ownership.balance import plan_balance
+from sedgetide.core.ownership.balance import plan_consolidation
 from sedgetide.core.ownership.balance import plan_evictions
-from sedgetide.core.ownership.balance import plan_tidying
-from sedgetide.core.ownership.balance import Taker
 from sedgetide.core.ownership.ranges import KEY_COUNT
 from sedgetide.core.ownership.ranges import KeyRange
 from sedgetide.core.ownership.ranges import Move
@@ -15,7 +15,10 @@
 
 
 def make_takers(*names, **slowness):
-    return {name: Taker(name, 2, slowness.get(name, 1.0)) for name in names}
+    return {
+        name: EligibleUpstream(name, 2, slowness.get(name, 1.0))
+        for name in names
+    }
 
 
 def settle(table, moves):
@@ -23,11 +26,11 @@
     return table.complete(table.list_moving())
 
 
-def sum_busy(table, takers, rates):
-    busy = dict.fromkeys(takers, 0.0)
+def sum_busy(table, eligible, rates):
+    busy = dict.fromkeys(eligible, 0.0)
     for key, rate in rates.items():
         owner = table.find(key).owner
-        busy[owner] += rate * takers[owner].slowness / takers[owner].slots
+        busy[owner] += rate * eligible[owner].slowness / eligible[owner].slots
     return busy
 
 
@@ -37,16 +40,16 @@
     def setUp(self):
         super().setUp()
         self.names = ["a", "b", "c", "d"]
-        self.takers = make_takers(*self.names)
+        self.eligible = make_takers(*self.names)
         self.table = RangeTable().assign_first(
             [(name, 2) for name in self.names]
         )
 
-    def balance(self, rates, takers=None, rounds=6):
-        takers = takers or self.takers
+    def balance(self, rates, eligible=None, rounds=6):
+        eligible = eligible or self.eligible
         table = self.table
         for _ in range(rounds):
-            moves = plan_balance(table, takers, rates)
+            moves = plan_balance(table, eligible, rates)
             if not moves:
                 break
             table = settle(table, moves)
@@ -55,18 +58,18 @@
     def test_busy_neighbours_are_spread(self):
         rates = {key: 0.02 for key in range(1000, 1200)}
         table = self.balance(rates)
-        busy = sum_busy(table, self.takers, rates)
+        busy = sum_busy(table, self.eligible, rates)
         self.assertLess(max(busy.values()), 0.75)
         self.assertGreater(min(busy.values()), 0.25)
 
     def test_balanced_load_stays(self):
         step = KEY_COUNT // 4
         rates = {index * step + 5: 0.8 for index in range(4)}
-        self.assertEqual([], plan_balance(self.table, self.takers, rates))
+        self.assertEqual([], plan_balance(self.table, self.eligible, rates))
 
     def test_idle_service_stays(self):
         rates = {5: 0.1}
-        self.assertEqual([], plan_balance(self.table, self.takers, rates))
+        self.assertEqual([], plan_balance(self.table, self.eligible, rates))
 
     def test_one_hot_key_keeps_its_owner_and_loses_neighbours(self):
         # One key alone is more than half of the load: moving it would only
@@ -77,18 +80,18 @@
         self.assertNotEqual("a", table.find(102).owner)
 
     def test_slow_upstream_loses_load(self):
-        takers = make_takers(*self.names, a=6.0)
+        eligible = make_takers(*self.names, a=6.0)
         rates = {key * 100: 0.02 for key in range(80)}
-        table = self.balance(rates, takers)
+        table = self.balance(rates, eligible)
         work = sum(
             rate for key, rate in rates.items() if table.find(key).owner == "a"
         )
         self.assertLess(work, 0.4)
 
     def test_empty_newcomer_gets_some_at_once(self):
-        takers = make_takers(*self.names, "e")
+        eligible = make_takers(*self.names, "e")
         rates = {key * 1000: 0.02 for key in range(60)}
-        moves = plan_balance(self.table, takers, rates)
+        moves = plan_balance(self.table, eligible, rates)
         self.assertIn("e", [move.successor for move in moves])
 
     def test_large_service_is_spread_as_soon_as_a_small_one(self):
@@ -96,13 +99,15 @@
         # long as it takes to move the busy keys away. Eight moves a round
         # do for twenty upstreams; here they would take half a minute.
         names = [f"u{number:03}" for number in range(160)]
-        takers = make_takers(*names)
+        eligible = make_takers(*names)
         table = RangeTable().assign_first([(name, 2) for name in names])
         rates = {key * 8: 0.04 for key in range(3000)}
         for _ in range(4):
-            moves = plan_balance(table, takers, rates, bound_moves(160))
+            moves = plan_balance(
+                table, eligible, rates, max_concurrent_moves(160)
+            )
             table = settle(table, moves)
-        busy = sum_busy(table, takers, rates)
+        busy = sum_busy(table, eligible, rates)
         self.assertLess(max(busy.values()), 1.5 * sum(busy.values()) / 160)
 
     def test_upstreams_that_come_back_together_are_filled_in_one_round(self):
@@ -110,15 +115,17 @@
         # nothing, the others have half more than usual and refuse. At eight
         # moves a round it took seven rounds, 5.6 s, to even out.
         names = [f"u{number:02}" for number in range(22)]
-        takers = make_takers(*names)
+        eligible = make_takers(*names)
         table = RangeTable().assign_first([(name, 1) for name in names[:14]])
         rates = {key * 20: 0.01 for key in range(3200)}
-        empty = count_empty(table, takers)
+        empty = count_empty(table, eligible)
         self.assertEqual(8, empty)
-        moves = plan_balance(table, takers, rates, bound_moves(22, empty))
+        moves = plan_balance(
+            table, eligible, rates, max_concurrent_moves(22, empty)
+        )
         table = settle(table, moves)
-        busy = sum_busy(table, takers, rates)
-        mean = sum(busy.values()) / len(takers)
+        busy = sum_busy(table, eligible, rates)
+        mean = sum(busy.values()) / len(eligible)
         self.assertGreater(min(busy.values()), 0.5 * mean)
         self.assertLess(max(busy.values()), 1.4 * mean)
 
@@ -126,15 +133,17 @@
         # Each of a thousand upstreams is busy with one key alone; looking
         # for one that can give something must end.
         names = [f"u{number:04}" for number in range(1200)]
-        takers = make_takers(*names)
+        eligible = make_takers(*names)
         table = RangeTable().assign_first([(name, 2) for name in names])
         rates = {tenure.low: 2.0 for tenure in table.tenures[:-1]}
-        moves = plan_balance(table, takers, rates, bound_moves(1200))
+        moves = plan_balance(
+            table, eligible, rates, max_concurrent_moves(1200)
+        )
         self.assertEqual([], moves)
 
     def test_moves_of_one_round_do_not_cross(self):
         rates = {key: 0.05 for key in range(0, 400)}
-        moves = plan_balance(self.table, self.takers, rates)
+        moves = plan_balance(self.table, self.eligible, rates)
         self.assertGreater(len(moves), 1)
         self.table.begin(moves)
 
@@ -156,14 +165,14 @@
     """Idle scraps go to a neighbour's owner."""
 
     def test_idle_scraps_are_joined_and_busy_ones_stay(self):
-        takers = make_takers("a", "b")
+        eligible = make_takers("a", "b")
         table = RangeTable().assign_first([("a", 1), ("b", 1)])
         for low in range(0, 400, 20):
             table = settle(table, [Move(KeyRange(low + 5, low + 9), "b")])
         before = len(table.tenures)
         rates = {6: 0.5}
         for _ in range(20):
-            moves = plan_tidying(table, takers, rates, 4)
+            moves = plan_consolidation(table, eligible, rates, 4)
             if not moves:
                 break
             table = settle(table, moves).merge()
--- a/tests/core/ownership/test_evacuation.py
+++ b/tests/core/ownership/test_evacuation.py
@@ -4,10 +4,10 @@
 
 import testtools
 
-from sedgetide.core.ownership._loads import Taker
 from sedgetide.core.ownership.balance import plan_evictions
-from sedgetide.core.ownership.evacuation import EvacuationPace
+from sedgetide.core.ownership.evacuation import EvacuationPacer
 from sedgetide.core.ownership.evacuation import plan_evacuation
+from sedgetide.core.ownership.projected_load import EligibleUpstream
 from sedgetide.core.ownership.ranges import RangeTable
 
 COUNT = 12
@@ -15,7 +15,7 @@
 
 class TestPace(testtools.TestCase):
     def play(self, left, serving=True):
-        pace = EvacuationPace()
+        pace = EvacuationPacer()
         begun = []
         for tick in range(30):
             now = 100.0 + tick * 0.1
@@ -43,7 +43,7 @@
         self.assertEqual([(0.0, 100)], self.play(100, serving=False))
 
     def test_asked_again_begins_anew(self):
-        pace = EvacuationPace()
+        pace = EvacuationPacer()
         for tick in range(20):
             pace.allow(100, True, tick * 0.4)
         pace.allow(0, True, 9.0)
@@ -57,7 +57,9 @@
         super().setUp()
         self.names = [f"u-{index:02}" for index in range(COUNT)]
         self.leaving = self.names[:4]
-        self.takers = {name: Taker(name, 3) for name in self.names[4:]}
+        self.eligible = {
+            name: EligibleUpstream(name, 3) for name in self.names[4:]
+        }
         self.table = RangeTable().assign_first(
             [(name, 1) for name in self.names]
         )
@@ -67,7 +69,7 @@
 
     def plan(self, most):
         return plan_evacuation(
-            self.table, self.takers, self.rates, self.leaving, most
+            self.table, self.eligible, self.rates, self.leaving, most
         )
 
     def test_busiest_first_and_apart(self):
@@ -87,11 +89,13 @@
 
     def test_evictions_leave_them_alone(self):
         moves = plan_evictions(
-            self.table, self.takers, self.rates, self.leaving
+            self.table, self.eligible, self.rates, self.leaving
         )
         self.assertEqual([], moves)
         gone = {
-            name: each for name, each in self.takers.items() if name != "u-04"
+            name: each
+            for name, each in self.eligible.items()
+            if name != "u-04"
         }
         moves = plan_evictions(self.table, gone, self.rates, self.leaving)
         self.assertEqual([self.table.tenures[4].keys], [m.keys for m in moves])
--- a/tests/core/ownership/test_isolation.py
+++ b/tests/core/ownership/test_isolation.py
@@ -2,9 +2,9 @@
 
 import testtools
 
-from sedgetide.core.ownership.balance import bound_moves
+from sedgetide.core.ownership.balance import EligibleUpstream
+from sedgetide.core.ownership.balance import max_concurrent_moves
 from sedgetide.core.ownership.balance import plan_balance
-from sedgetide.core.ownership.balance import Taker
 from sedgetide.core.ownership.ranges import RangeTable
 
 COUNT = 16
@@ -30,13 +30,15 @@
         self.rates[self.hot] = 20.0
 
     def balance(self, rounds=6, **slowness):
-        takers = {
-            name: Taker(name, 2, slowness.get(name, 1.0))
+        eligible = {
+            name: EligibleUpstream(name, 2, slowness.get(name, 1.0))
             for name in self.names
         }
         table = self.table
         for _ in range(rounds):
-            moves = plan_balance(table, takers, self.rates, bound_moves(COUNT))
+            moves = plan_balance(
+                table, eligible, self.rates, max_concurrent_moves(COUNT)
+            )
             table = table.begin(moves)
             table = table.complete(table.list_moving()).merge()
         return table
@@ -67,7 +69,7 @@
     def test_few_upstreams_keep_what_they_have(self):
         # With three upstreams one less for all other keys is too many.
         names = self.names[:3]
-        takers = {name: Taker(name, 2) for name in names}
+        eligible = {name: EligibleUpstream(name, 2) for name in names}
         table = RangeTable().assign_first([(name, 2) for name in names])
         rates = {self.hot: 20.0}
-        self.assertEqual([], plan_balance(table, takers, rates))
+        self.assertEqual([], plan_balance(table, eligible, rates))
--- a/tests/core/ownership/test_leadership.py
+++ b/tests/core/ownership/test_leadership.py
@@ -50,7 +50,7 @@
         # Guards against a record of before that the copy shows as well.
         self.lead(100.0)
         self.leadership.note_era(1)
-        self.assertTrue(self.leadership.outlived)
+        self.assertTrue(self.leadership.era_ended)
         self.assertFalse(self.leadership.note_read(TERM, 101.0))
         end = 100.0 + self.durations.proof_life
         self.assertTrue(self.leadership.may_order(end - 0.01))
@@ -107,10 +107,10 @@
         # itself the leader, since a leader takes no news from others.
         self.lead(100.0)
         end = 100.0 + self.durations.proof_life + self.durations.lease
-        self.assertFalse(self.leadership.is_hopeless(end - 0.01))
-        self.assertTrue(self.leadership.is_hopeless(end))
+        self.assertFalse(self.leadership.is_certainly_lost(end - 0.01))
+        self.assertTrue(self.leadership.is_certainly_lost(end))
         self.leadership.end()
-        self.assertFalse(self.leadership.is_hopeless(end))
+        self.assertFalse(self.leadership.is_certainly_lost(end))
 
     def test_successor_outwaits_the_last_order(self):
         # The predecessor's record is taken away right after its last read.
--- a/tests/core/ownership/test_leasing.py
+++ b/tests/core/ownership/test_leasing.py
@@ -9,9 +9,9 @@
 from sedgetide.core.ownership.assignment import EMPTY_ASSIGNMENT
 from sedgetide.core.ownership.assignment import ShardKey
 from sedgetide.core.ownership.grants import Token
-from sedgetide.core.ownership.leasing import Answer
 from sedgetide.core.ownership.leasing import Authorization
-from sedgetide.core.ownership.leasing import CallKind
+from sedgetide.core.ownership.leasing import ControlAnswer
+from sedgetide.core.ownership.leasing import ControlCallKind
 from sedgetide.core.ownership.leasing import Health
 from sedgetide.core.ownership.leasing import UpstreamLease
 from sedgetide.core.requests.outcomes import Reason
@@ -37,11 +37,11 @@
     def answer(self, now, orderer=ME, held=0.5, incarnation="a", **fields):
         token = Token(str(now), now, now, incarnation)
         call = self.lease.next_call(now)
-        answer = Answer(token, orderer, held, **fields)
+        answer = ControlAnswer(token, orderer, held, **fields)
         return call.kind, self.lease.note_answer(call, answer)
 
     def obstacle(self, now):
-        return self.lease.find_obstacle(KEY, LATE, now)
+        return self.lease.find_refusal_reason(KEY, LATE, now)
 
     def grant(self, now=1.0):
         self.answer(now, orderer="")
@@ -49,9 +49,9 @@
 
     def test_grants_before_it_serves(self):
         self.assertIs(Reason.NOT_KEEPER, self.obstacle(1.0))
-        self.assertEqual((CallKind.STATUS, False), self.answer(1.0, ""))
+        self.assertEqual((ControlCallKind.STATUS, False), self.answer(1.0, ""))
         self.assertIs(Reason.NO_GRANT, self.obstacle(1.0))
-        self.assertEqual((CallKind.GRANT, False), self.answer(1.1))
+        self.assertEqual((ControlCallKind.GRANT, False), self.answer(1.1))
         self.assertIsNone(self.obstacle(1.1))
 
     def test_serves_no_longer_than_the_grant_lives(self):
@@ -67,21 +67,23 @@
     def test_gives_no_grants_without_proof(self):
         self.grant(1.0)
         self.lease.update(Authorization(OWNED, 1.2))
-        self.assertIs(CallKind.STATUS, self.lease.next_call(1.3).kind)
+        self.assertIs(ControlCallKind.STATUS, self.lease.next_call(1.3).kind)
 
     def test_leaves_an_upstream_to_the_keeper_that_comes_first(self):
         # Two keepers, cut off from each other, both reach the upstream. If
         # both gave orders by turns it would refuse the requests of both.
         self.answer(1.0, OTHER, held=0.3)
         self.assertIs(Reason.NOT_KEEPER, self.obstacle(1.0))
-        self.assertIs(CallKind.STATUS, self.lease.next_call(1.1).kind)
+        self.assertIs(ControlCallKind.STATUS, self.lease.next_call(1.1).kind)
         self.answer(1.5, OTHER, held=0.0)
-        self.assertIs(CallKind.GRANT, self.lease.next_call(1.5).kind)
+        self.assertIs(ControlCallKind.GRANT, self.lease.next_call(1.5).kind)
 
     def test_orders_of_another_end_the_tenure(self):
         self.grant(1.0)
         self.first.clear()
-        self.assertEqual((CallKind.GRANT, True), self.answer(1.1, OTHER))
+        self.assertEqual(
+            (ControlCallKind.GRANT, True), self.answer(1.1, OTHER)
+        )
 
     def test_request_that_runs_is_let_end_before_a_release(self):
         # A planned move must cut no request.
@@ -89,9 +91,9 @@
         self.lease.begin_request(KEY)
         self.lease.update(Authorization(RELEASED, 100.0))
         self.assertIs(Reason.MOVING, self.obstacle(1.1))
-        self.assertIs(CallKind.GRANT, self.lease.next_call(1.1).kind)
+        self.assertIs(ControlCallKind.GRANT, self.lease.next_call(1.1).kind)
         self.lease.end_request(KEY)
-        self.assertIs(CallKind.RELEASE, self.lease.next_call(1.2).kind)
+        self.assertIs(ControlCallKind.RELEASE, self.lease.next_call(1.2).kind)
 
     def test_refused_release_is_not_reported(self):
         self.grant(1.0)
@@ -106,12 +108,12 @@
         self.grant(1.0)
         self.lease.checks_orders = False
         self.lease.update(Authorization(RELEASED, 100.0))
-        self.assertIs(CallKind.GRANT, self.lease.next_call(1.1).kind)
+        self.assertIs(ControlCallKind.GRANT, self.lease.next_call(1.1).kind)
 
     def test_restarted_upstream_has_lost_its_shards(self):
         self.grant(1.0)
         self.assertEqual(
-            (CallKind.GRANT, True), self.answer(1.1, incarnation="b")
+            (ControlCallKind.GRANT, True), self.answer(1.1, incarnation="b")
         )
         self.assertEqual({KEY: 1}, self.lease.list_lost())
         self.assertEqual({}, self.lease.next_call(1.2).shards)
--- a/tests/core/ownership/test_limits.py
+++ b/tests/core/ownership/test_limits.py
@@ -3,7 +3,7 @@
 import testtools
 
 from sedgetide.core.identifiers import IncarnationName
-from sedgetide.core.ownership.limits import LimitBook
+from sedgetide.core.ownership.limits import LimitTracker
 
 UPSTREAM = IncarnationName("map-1")
 
@@ -11,7 +11,7 @@
 class TestLimitBook(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.book = LimitBook()
+        self.book = LimitTracker()
 
     def report(self, *times, rate=2.2):
         for now in times:
--- a/tests/core/ownership/test_recovery.py
+++ b/tests/core/ownership/test_recovery.py
@@ -17,30 +17,36 @@
 
     def setUp(self):
         super().setUp()
-        self.recovery = Recovery(settled_at=102.0, over_at=110.0)
+        self.recovery = Recovery(settled_at=102.0, grants_expire_at=110.0)
 
     def test_all_that_may_hold_keys_are_asked(self):
         # Guards against a key that an upstream was granted in lost seconds.
-        self.assertEqual(list(BOTH), self.recovery.list_open(BOTH, 102.0))
+        self.assertEqual(
+            list(BOTH), self.recovery.list_pending_releases(BOTH, 102.0)
+        )
         self.recovery.note_released("u-1")
-        self.assertEqual(["u-2"], self.recovery.list_open(BOTH, 103.0))
+        self.assertEqual(
+            ["u-2"], self.recovery.list_pending_releases(BOTH, 103.0)
+        )
         self.assertFalse(self.recovery.is_over(BOTH, 103.0))
         self.recovery.note_released("u-2")
         self.assertTrue(self.recovery.is_over(BOTH, 103.0))
 
     def test_nobody_is_asked_before_all_are_registered_again(self):
         # Guards against a young upstream that the copy does not show yet.
-        self.assertEqual([], self.recovery.list_open(BOTH, 101.9))
+        self.assertEqual([], self.recovery.list_pending_releases(BOTH, 101.9))
         self.assertFalse(self.recovery.is_over((), 101.9))
 
     def test_time_is_enough_where_one_does_not_answer(self):
         self.assertFalse(self.recovery.is_over(BOTH, 109.9))
         self.assertTrue(self.recovery.is_over(BOTH, 110.0))
-        self.assertEqual([], self.recovery.list_open(BOTH, 110.0))
+        self.assertEqual([], self.recovery.list_pending_releases(BOTH, 110.0))
 
     def test_upstream_that_comes_late_is_asked_too(self):
         self.recovery.note_released("u-1")
-        self.assertEqual(["u-2"], self.recovery.list_open(BOTH, 103.0))
+        self.assertEqual(
+            ["u-2"], self.recovery.list_pending_releases(BOTH, 103.0)
+        )
 
 
 class TestFirstFence(testtools.TestCase):
--- a/tests/core/ownership/test_smoothing.py
+++ b/tests/core/ownership/test_smoothing.py
@@ -4,11 +4,11 @@
 
 import testtools
 
-from sedgetide.core.ownership.balance import bound_moves
+from sedgetide.core.ownership.balance import EligibleUpstream
+from sedgetide.core.ownership.balance import max_concurrent_moves
 from sedgetide.core.ownership.balance import plan_balance
-from sedgetide.core.ownership.balance import Taker
 from sedgetide.core.ownership.load import KeyWork
-from sedgetide.core.ownership.load import LoadBook
+from sedgetide.core.ownership.load import LoadTracker
 from sedgetide.core.ownership.load import UpstreamWork
 from sedgetide.core.ownership.ranges import KEY_COUNT
 from sedgetide.core.ownership.ranges import RangeTable
@@ -45,7 +45,7 @@
             for index, name in enumerate(self.names)
         }
         self.rate = BUSY * SLOTS * count / WORK
-        self.book = LoadBook()
+        self.book = LoadTracker()
         self.table = RangeTable().assign_first(
             [(name, SLOTS) for name in self.names]
         )
@@ -92,14 +92,16 @@
         )
 
     def _balance(self):
-        takers = {
-            name: Taker(name, SLOTS, self.book.find_slowness(name, self.now))
+        eligible = {
+            name: EligibleUpstream(
+                name, SLOTS, self.book.find_slowness(name, self.now)
+            )
             for name in self.names
         }
         views = self.book.list_views(SERVICE, self.now)
         rates = smooth_rates(views, self.table.tenures)
         moves = plan_balance(
-            self.table, takers, rates, bound_moves(len(takers))
+            self.table, eligible, rates, max_concurrent_moves(len(eligible))
         )
         self.moves += len(moves)
         self.moved += sum(len(move.keys) for move in moves) / KEY_COUNT
--- a/tests/core/requests/test_attempts.py
+++ b/tests/core/requests/test_attempts.py
@@ -5,8 +5,8 @@
 
 from sedgetide.core.configuration.policy import RouteRule
 from sedgetide.core.configuration.policy import Share
-from sedgetide.core.membership.directory import Directory
 from sedgetide.core.membership.directory import RegisteredUpstream
+from sedgetide.core.membership.directory import UpstreamDirectory
 from sedgetide.core.ownership.ranges import KeyRange
 from sedgetide.core.ownership.ranges import Move
 from sedgetide.core.ownership.ranges import RangeTable
@@ -18,7 +18,7 @@
 from sedgetide.core.requests.attempts import refine_failure
 from sedgetide.core.requests.attempts import Wait
 from sedgetide.core.requests.outcomes import Outcome
-from sedgetide.core.requests.routes import set_times
+from sedgetide.core.requests.routes import compute_times
 
 SAFE = RouteRule("r", "a", "/", True, 1.0, 0.5, 2, 1, (Share("maps", 1.0),))
 NOW = 1.0
@@ -36,7 +36,7 @@
 
     def setUp(self):
         super().setUp()
-        self.directory = Directory()
+        self.directory = UpstreamDirectory()
         for name in ("u-1", "u-2"):
             entry = RegisteredUpstream(name, "roster", "1.1.1.1:1", "dc")
             self.directory.put(entry, 1.0)
@@ -68,7 +68,7 @@
 
     def setUp(self):
         super().setUp()
-        self.directory = Directory()
+        self.directory = UpstreamDirectory()
         for name in ("u-1", "u-2"):
             self.put(name)
         self.table = RangeTable().assign_first([("u-1", 1), ("u-2", 1)])
@@ -105,7 +105,7 @@
 
     def ask(self, route, outcome, sends=1, tried=("u-1",), now=0.1):
         progress = Progress(outcome, tried=list(tried), sends=sends)
-        times = set_times(route, None, 0.0)
+        times = compute_times(route, None, 0.0)
         return may_send_again(route, progress, False, times, now)
 
     def test_unsafe_after_a_byte_left(self):
--- a/tests/core/requests/test_breaks.py
+++ b/tests/core/requests/test_brokenruns.py
@@ -7,11 +7,11 @@
 from sedgetide.core.identifiers import RequestId
 from sedgetide.core.identifiers import ServiceName
 from sedgetide.core.identifiers import UpstreamName
-from sedgetide.core.membership.directory import Directory
 from sedgetide.core.membership.directory import RegisteredUpstream
-from sedgetide.core.requests.breaks import BrokenRun
-from sedgetide.core.requests.breaks import BrokenRuns
-from sedgetide.core.requests.breaks import LossProof
+from sedgetide.core.membership.directory import UpstreamDirectory
+from sedgetide.core.requests.brokenruns import BrokenRun
+from sedgetide.core.requests.brokenruns import BrokenRuns
+from sedgetide.core.requests.brokenruns import LossProof
 
 UPSTREAM = RegisteredUpstream(
     UpstreamName("map-1"),
@@ -29,17 +29,19 @@
 class TestBrokenRuns(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.directory = Directory()
+        self.directory = UpstreamDirectory()
         self.directory.put(UPSTREAM, 0.0)
         self.runs = BrokenRuns()
 
     def test_all_that_a_crashed_upstream_had(self):
         self.runs.note(UPSTREAM.name, make_run(1.0, "a"))
         self.runs.note(UPSTREAM.name, make_run(1.01, "b"))
-        ended = self.runs.conclude(UPSTREAM.name, LossProof.REFUSED)
+        ended = self.runs.pop_ended(UPSTREAM.name, LossProof.REFUSED)
         self.assertEqual(["a", "b"], [run.request for run in ended.runs])
         self.assertEqual(1.0, ended.at)
-        self.assertIsNone(self.runs.conclude(UPSTREAM.name, LossProof.REFUSED))
+        self.assertIsNone(
+            self.runs.pop_ended(UPSTREAM.name, LossProof.REFUSED)
+        )
 
     def test_upstream_that_goes_on_answering_has_not_ended(self):
         """A full upstream resets a request and serves the others.
@@ -50,7 +52,7 @@
         self.runs.note(UPSTREAM.name, make_run(1.0))
         self.runs.note_answer(UPSTREAM.name, began=1.1)
         self.directory.remove(UPSTREAM.registered_name, 2.0)
-        self.assertEqual([], self.runs.take_withdrawn(self.directory, 2.0))
+        self.assertEqual([], self.runs.pop_withdrawn(self.directory, 2.0))
 
     def test_last_answer_of_an_upstream_that_ends(self):
         """An answer leaves right before the crash and is read after it.
@@ -60,7 +62,7 @@
         self.runs.note(UPSTREAM.name, make_run(1.0))
         self.runs.note_answer(UPSTREAM.name, began=0.8)
         self.directory.remove(UPSTREAM.registered_name, 3.6)
-        ended = self.runs.take_withdrawn(self.directory, 3.6)
+        ended = self.runs.pop_withdrawn(self.directory, 3.6)
         self.assertEqual(1, len(ended))
 
     def test_entry_that_disappears_within_seconds(self):
@@ -70,24 +72,24 @@
         is gone three heartbeats later, shows it.
         """
         self.runs.note(UPSTREAM.name, make_run(1.0))
-        self.assertEqual([], self.runs.take_withdrawn(self.directory, 2.0))
+        self.assertEqual([], self.runs.pop_withdrawn(self.directory, 2.0))
         self.directory.remove(UPSTREAM.registered_name, 3.6)
-        ended = self.runs.take_withdrawn(self.directory, 3.6)
+        ended = self.runs.pop_withdrawn(self.directory, 3.6)
         self.assertEqual(LossProof.WITHDRAWN, ended[0].proof)
         self.assertEqual(1.0, ended[0].at)
 
     def test_entry_that_disappears_long_after(self):
         self.runs.note(UPSTREAM.name, make_run(1.0))
-        self.assertEqual([], self.runs.take_withdrawn(self.directory, 8.0))
+        self.assertEqual([], self.runs.pop_withdrawn(self.directory, 8.0))
         self.directory.remove(UPSTREAM.registered_name, 8.1)
-        self.assertEqual([], self.runs.take_withdrawn(self.directory, 8.1))
+        self.assertEqual([], self.runs.pop_withdrawn(self.directory, 8.1))
 
     def test_entry_that_lapses_while_the_store_is_away(self):
         # Missing entries are not believed then, here neither.
         self.runs.note(UPSTREAM.name, make_run(1.0))
-        self.directory.note_disturbance(1.5)
+        self.directory.note_registry_outage(1.5)
         self.directory.remove(UPSTREAM.registered_name, 2.0)
-        self.assertEqual([], self.runs.take_withdrawn(self.directory, 2.0))
+        self.assertEqual([], self.runs.pop_withdrawn(self.directory, 2.0))
 
     def test_start_under_the_same_name(self):
         first = RegisteredUpstream(
@@ -107,7 +109,7 @@
             born=2,
         )
         self.directory.put(again, 1.5)
-        ended = self.runs.take_withdrawn(self.directory, 1.5)
+        ended = self.runs.pop_withdrawn(self.directory, 1.5)
         self.assertEqual([first.name], [each.upstream for each in ended])
 
     def test_memory_is_bounded(self):
@@ -116,5 +118,5 @@
             self.runs.note(name, make_run(float(number)))
         for _ in range(100):
             self.runs.note("map-499", make_run(2000.0))
-        kept = self.runs.conclude("map-499", LossProof.REFUSED)
+        kept = self.runs.pop_ended("map-499", LossProof.REFUSED)
         self.assertLessEqual(len(kept.runs), 32)
--- a/tests/core/requests/test_cold.py
+++ b/tests/core/requests/test_coldstart.py
@@ -7,15 +7,15 @@
 from hypothesis import strategies
 import testtools
 
-from sedgetide.core.requests.cold import bound_cold_sends
-from sedgetide.core.requests.cold import RecentSends
+from sedgetide.core.requests.coldstart import compute_cold_send_limit
+from sedgetide.core.requests.coldstart import RecentSends
 from sedgetide.core.requests.places import Lender
 from sedgetide.core.requests.places import Ticket
 from sedgetide.core.requests.places import Verdict
 
 RATE, OVERRUN, SLACK = 4.2, 1.5, 8.0
 TOTAL = RATE * OVERRUN + SLACK
-BOUND = bound_cold_sends(RATE, OVERRUN, SLACK)
+BOUND = compute_cold_send_limit(RATE, OVERRUN, SLACK)
 
 
 def count_most(times):
@@ -35,9 +35,9 @@
         self.assertEqual(7, BOUND)
 
     def test_odd_figures(self):
-        self.assertEqual(0, bound_cold_sends(0.0, 1.5, 0.0))
-        self.assertEqual(0, bound_cold_sends(1.3, 1.0, 0.0))
-        self.assertEqual(500_000, bound_cold_sends(1e300, 1e300, 8.0))
+        self.assertEqual(0, compute_cold_send_limit(0.0, 1.5, 0.0))
+        self.assertEqual(0, compute_cold_send_limit(1.3, 1.0, 0.0))
+        self.assertEqual(500_000, compute_cold_send_limit(1e300, 1e300, 8.0))
 
     @given(
         strategies.floats(0, 1e6),
@@ -45,7 +45,7 @@
         strategies.floats(0, 1e6),
     )
     def test_never_more_than_the_total(self, rate, overrun, slack):
-        bound = bound_cold_sends(rate, overrun, slack)
+        bound = compute_cold_send_limit(rate, overrun, slack)
         self.assertLessEqual(2 * bound, rate * overrun + slack)
 
 
--- a/tests/core/requests/test_crowd.py
+++ b/tests/core/requests/test_lenderfailover.py
@@ -16,9 +16,9 @@
 from sedgetide.core.identifiers import ServiceName
 from sedgetide.core.identifiers import UpstreamName
 from sedgetide.core.membership.directory import RegisteredUpstream
+from sedgetide.core.membership.lenders import HostStatus
 from sedgetide.core.membership.lenders import LenderList
-from sedgetide.core.membership.lenders import Roster
-from sedgetide.core.membership.lenders import Standing
+from sedgetide.core.membership.lenders import LenderSelector
 from sedgetide.core.requests.places import Lender
 from sedgetide.core.requests.places import Ticket
 from sedgetide.core.requests.places import Verdict
@@ -87,7 +87,7 @@
             )
             for index in range(UPSTREAMS)
         ]
-        self.roster = Roster(LenderList(), 0.0)
+        self.roster = LenderSelector(LenderList(), 0.0)
         # When it was asked, whether it was answered in time, how it ended.
         self.ends = []
         self._plan(seconds)
@@ -123,7 +123,7 @@
     def _report(self):
         for host in self.hosts:
             if host.lives:
-                standing = Standing(host.centre, 1.0, host.lenders.version)
+                standing = HostStatus(host.centre, 1.0, host.lenders.version)
                 self.roster.note(host.link, standing, self.now)
                 if standing.lenders != self.roster.lenders.version:
                     host.lenders = self.roster.lenders
--- a/tests/core/requests/test_choice.py
+++ b/tests/core/requests/test_loadbalancing.py
@@ -6,9 +6,9 @@
 import testtools
 
 from sedgetide.core.membership.directory import RegisteredUpstream
-from sedgetide.core.requests.choice import Candidate
-from sedgetide.core.requests.choice import choose_upstream
-from sedgetide.core.requests.choice import price_crossing
+from sedgetide.core.requests.loadbalancing import Candidate
+from sedgetide.core.requests.loadbalancing import choose_upstream
+from sedgetide.core.requests.loadbalancing import compute_crossing_cost
 
 
 def make_candidate(name, **fields):
@@ -68,7 +68,7 @@
 
     def choose(self, size, queue, objective=0.6):
         source = random.Random(1)
-        crossing = price_crossing(size, objective)
+        crossing = compute_crossing_cost(size, objective)
         fields = {"seconds": 0.2, "queue": queue}
         chosen = collections.Counter(
             choose_upstream(
@@ -98,6 +98,7 @@
 
     def test_no_body_is_worth_more_than_a_share_of_the_objective(self):
         self.assertEqual(
-            price_crossing(10**9, 0.2), price_crossing(10**8, 0.2)
+            compute_crossing_cost(10**9, 0.2),
+            compute_crossing_cost(10**8, 0.2),
         )
-        self.assertLess(price_crossing(10**9, 0.2), 0.2)
+        self.assertLess(compute_crossing_cost(10**9, 0.2), 0.2)
--- a/tests/core/requests/test_ages.py
+++ b/tests/core/requests/test_overdue.py
@@ -2,13 +2,13 @@
 
 import testtools
 
-from sedgetide.core.requests.ages import CallerAges
+from sedgetide.core.requests.overdue import OverdueDetector
 
 
 class TestCallerAges(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.ages = CallerAges()
+        self.ages = OverdueDetector()
 
     def is_overdue(self, left, now=0.0, route="map"):
         return self.ages.is_overdue(route, left, 0.6, now)
--- a/tests/core/requests/test_places.py
+++ b/tests/core/requests/test_places.py
@@ -14,8 +14,8 @@
 from sedgetide.core.requests.places import rank_request
 from sedgetide.core.requests.places import Ticket
 from sedgetide.core.requests.places import Verdict
-from sedgetide.core.requests.returns import wait_for_place
-from sedgetide.core.requests.returns import wait_for_queue
+from sedgetide.core.requests.retryafter import retry_after_place
+from sedgetide.core.requests.retryafter import retry_after_queue
 from sedgetide.core.requests.windows import UpstreamLoad
 from sedgetide.core.requests.windows import Window
 
@@ -423,13 +423,15 @@
         peak, are refused three times within it and fail.
         """
         failed = {}
-        for tell in (wait_for_queue, wait_for_place):
+        for tell in (retry_after_queue, retry_after_place):
             arrivals = draw_swinging_arrivals(0.9, 120.0, 1)
             replay = ReturningReplay(arrivals, tell)
             replay.run()
             failed[tell] = replay.failed / len(arrivals)
-        self.assertLess(failed[wait_for_place], 0.09)
-        self.assertLess(failed[wait_for_place], 0.75 * failed[wait_for_queue])
+        self.assertLess(failed[retry_after_place], 0.09)
+        self.assertLess(
+            failed[retry_after_place], 0.75 * failed[retry_after_queue]
+        )
 
     def test_late_callers_do_not_make_others_late(self):
         """Far more is asked for than the upstream can do.
@@ -441,7 +443,7 @@
         failed = {}
         for ages in (False, True):
             arrivals = draw_arrivals(1.4, 120.0, 1)
-            replay = ReturningReplay(arrivals, wait_for_place, ages)
+            replay = ReturningReplay(arrivals, retry_after_place, ages)
             usual = replay.run()[USUAL]
             in_time[ages] = usual.in_time / usual.asked
             failed[ages] = replay.failed / len(arrivals)
--- a/tests/core/requests/test_quarantine.py
+++ b/tests/core/requests/test_quarantine.py
@@ -35,7 +35,7 @@
         self.quarantine = Quarantine()
 
     def find(self, fingerprint, now):
-        return self.quarantine.find_stay(fingerprint, now)
+        return self.quarantine.find_stay_left(fingerprint, now)
 
     def test_nothing_is_known_at_first(self):
         self.assertTrue(self.quarantine.idle)
@@ -113,7 +113,7 @@
         others = [f"{BESIDE}-{number}" for number in range(6)]
         lose(self.quarantine, 0.0, DEADLY, *others)
         lose(self.quarantine, 4.0, DEADLY, *others)
-        self.assertTrue(self.quarantine.is_grave(DEADLY))
+        self.assertTrue(self.quarantine.is_strong_suspect(DEADLY))
         lose(self.quarantine, 8.0, DEADLY, "new", alone=[DEADLY])
         self.assertGreater(self.find(DEADLY, 8.0), 0.0)
         for each in (*others, "new"):
@@ -201,7 +201,7 @@
             for other in hosts:
                 other.merge(copy(host, at), at + 0.01)
         for host in hosts:
-            self.assertGreater(host.find_stay(DEADLY, 8.1), 290.0)
+            self.assertGreater(host.find_stay_left(DEADLY, 8.1), 290.0)
 
     def test_copies_know_which_suspect_ran_alone(self):
         first, other = Quarantine(), Quarantine()
@@ -211,7 +211,7 @@
         lose(other, 8.0, DEADLY, "x")
         lose(first, 8.0, DEADLY, alone=[DEADLY])
         self.assertTrue(other.merge(copy(first, 8.0), 8.0))
-        self.assertGreater(other.find_stay(DEADLY, 8.0), 0.0)
+        self.assertGreater(other.find_stay_left(DEADLY, 8.0), 0.0)
         first.merge(copy(other, 8.0), 8.0)
         self.assertEqual(first.version, other.version)
 
@@ -222,7 +222,8 @@
         self.assertTrue(new.merge(copy(first, 100.0), 100.0))
         self.assertEqual(first.version, new.version)
         self.assertAlmostEqual(
-            first.find_stay(DEADLY, 100.0), new.find_stay(DEADLY, 100.0)
+            first.find_stay_left(DEADLY, 100.0),
+            new.find_stay_left(DEADLY, 100.0),
         )
 
     def test_word_of_a_loss_that_is_held_up(self):
@@ -237,7 +238,7 @@
         report = copy(seen, 0.0)
         for now in (0.01, 4.0, 8.0):
             other.merge(report, now)
-        self.assertEqual(0.0, other.find_stay(BESIDE, 8.0))
+        self.assertEqual(0.0, other.find_stay_left(BESIDE, 8.0))
         self.assertTrue(other.may_retry(BESIDE))
 
     def test_held_up_word_of_a_loss_that_is_cleared(self):
@@ -257,9 +258,9 @@
         other.merge(copy(cut, 8.0), 8.0)
         other.note_end(DEADLY, 20.0)
         other.merge(copy(cut, 30.0), 30.0)
-        self.assertEqual(0.0, other.find_stay(DEADLY, 30.0))
+        self.assertEqual(0.0, other.find_stay_left(DEADLY, 30.0))
         cut.merge(copy(other, 30.0), 30.0)
-        self.assertEqual(0.0, cut.find_stay(DEADLY, 30.0))
+        self.assertEqual(0.0, cut.find_stay_left(DEADLY, 30.0))
         self.assertEqual(other.version, cut.version)
 
     def test_record_of_the_store_ends_a_stay_no_later_than_hosts_know(self):
@@ -275,13 +276,13 @@
         data = msgspec.json.encode(known.record(8.0))
         record = msgspec.json.decode(data, type=QuarantineRecord)
         started.take_record(record, 200.0)
-        self.assertEqual(300.0, started.find_stay(DEADLY, 200.0))
+        self.assertEqual(300.0, started.find_stay_left(DEADLY, 200.0))
         known.merge(copy(started, 200.0), 200.0)
-        self.assertEqual(108.0, known.find_stay(DEADLY, 200.0))
+        self.assertEqual(108.0, known.find_stay_left(DEADLY, 200.0))
         started.merge(copy(known, 200.0), 200.0)
-        self.assertEqual(108.0, started.find_stay(DEADLY, 200.0))
-        self.assertTrue(record.names(known.record(200.0)))
-        self.assertFalse(record.names(known.record(309.0)))
+        self.assertEqual(108.0, started.find_stay_left(DEADLY, 200.0))
+        self.assertTrue(record.has_same_content(known.record(200.0)))
+        self.assertFalse(record.has_same_content(known.record(309.0)))
 
     def test_losses_are_known_after_all_hosts_were_lost(self):
         # Guards against copies that run at once after a restart of all.
@@ -291,9 +292,9 @@
         data = msgspec.json.encode(known.record(4.0))
         record = msgspec.json.decode(data, type=QuarantineRecord)
         started.take_record(record, 100.0)
-        self.assertTrue(started.is_grave(DEADLY))
+        self.assertTrue(started.is_strong_suspect(DEADLY))
         lose(started, 101.0, DEADLY, BESIDE, alone=[DEADLY])
-        self.assertGreater(started.find_stay(DEADLY, 101.0), 0.0)
+        self.assertGreater(started.find_stay_left(DEADLY, 101.0), 0.0)
 
     def test_old_record_of_a_loss_undoes_no_clearance(self):
         known, started = Quarantine(), Quarantine()
@@ -314,19 +315,19 @@
             stay = RecordedStay(f"f{number}", number, left)
             quarantine.take_record(QuarantineRecord((stay,)), 10.0)
             self.assertLessEqual(
-                quarantine.find_stay(f"f{number}", 10.0), 3600.0
+                quarantine.find_stay_left(f"f{number}", 10.0), 3600.0
             )
         for age in (-1e300, 0.0, 1e300):
             loss = RecordedLoss(f"u{age}", age, frozenset("f"))
             quarantine.take_record(QuarantineRecord((), (loss,)), 10.0)
-        self.assertEqual(0.0, quarantine.find_stay("f", 10.0))
+        self.assertEqual(0.0, quarantine.find_stay_left("f", 10.0))
         quarantine.expire(20.0)
 
     def test_caller_of_one_does_not_touch_another(self):
         quarantine = Quarantine()
         for at in (0.0, 4.0, 8.0):
             lose(quarantine, at, DEADLY)
-        self.assertEqual(0.0, quarantine.find_stay(BESIDE, 8.0))
+        self.assertEqual(0.0, quarantine.find_stay_left(BESIDE, 8.0))
 
     @given(
         strategies.lists(
--- a/tests/core/requests/test_retries.py
+++ b/tests/core/requests/test_retries.py
@@ -2,7 +2,7 @@
 
 import testtools
 
-from sedgetide.core.requests.retries import bound_burst
+from sedgetide.core.requests.retries import compute_burst_limit
 from sedgetide.core.requests.retries import FIRST_TOKENS
 from sedgetide.core.requests.retries import RetryBudget
 
@@ -38,15 +38,15 @@
             (91, 820, 222),
             (91, 182, 222),
         ):
-            most = bound_burst(slack, hosts)
+            most = compute_burst_limit(slack, hosts)
             spent = self.spend_all(hosts, requests, most)
             self.assertLess(spent, 0.2 * requests + slack)
 
     def test_host_that_knows_of_no_other_saves_little(self):
-        self.assertEqual(1.0, bound_burst(222, None))
+        self.assertEqual(1.0, compute_burst_limit(222, None))
 
     def test_few_hosts_save_no_more_than_they_need(self):
-        self.assertEqual(4.0, bound_burst(158, 8))
+        self.assertEqual(4.0, compute_burst_limit(158, 8))
 
     def test_saved_ones_beyond_a_new_bound_are_lost(self):
         budget = RetryBudget(0.1, 4.0)
--- a/tests/core/requests/test_returns.py
+++ b/tests/core/requests/test_retryafter.py
@@ -2,16 +2,16 @@
 
 import testtools
 
+from sedgetide.core.ownership.move_observations import MoveObservations
 from sedgetide.core.ownership.ranges import Move
 from sedgetide.core.ownership.ranges import RangeTable
-from sedgetide.core.ownership.sightings import MoveSightings
 from sedgetide.core.requests.health import UpstreamHealth
-from sedgetide.core.requests.returns import UNPREPARED
-from sedgetide.core.requests.returns import wait_for_move
-from sedgetide.core.requests.returns import wait_for_owner
-from sedgetide.core.requests.returns import wait_for_place
-from sedgetide.core.requests.returns import wait_for_queue
-from sedgetide.core.requests.returns import wait_for_upstream
+from sedgetide.core.requests.retryafter import retry_after_full_upstream
+from sedgetide.core.requests.retryafter import retry_after_move
+from sedgetide.core.requests.retryafter import retry_after_owner_loss
+from sedgetide.core.requests.retryafter import retry_after_place
+from sedgetide.core.requests.retryafter import retry_after_queue
+from sedgetide.core.requests.retryafter import STARTUP_RETRY_DELAY
 from sedgetide.core.requests.windows import UpstreamLoad
 
 # What callers of the map honour of it: a third of the time they have left.
@@ -21,21 +21,21 @@
 
 class TestReturns(testtools.TestCase):
     def test_refused_caller_comes_again_when_there_is_room(self):
-        free = wait_for_upstream(UpstreamLoad(1, 0, 2), 0.2)
-        full = wait_for_upstream(UpstreamLoad(2, 8, 2), 0.2)
+        free = retry_after_full_upstream(UpstreamLoad(1, 0, 2), 0.2)
+        full = retry_after_full_upstream(UpstreamLoad(2, 8, 2), 0.2)
         self.assertLess(free, 0.1)
         self.assertGreater(full, 0.8)
-        self.assertEqual(0.25, wait_for_upstream(None, 0.2))
+        self.assertEqual(0.25, retry_after_full_upstream(None, 0.2))
 
     def test_queue_is_foretold_for_a_second_at_most(self):
-        self.assertEqual(0.25, wait_for_queue(0.1))
-        self.assertEqual(0.62, wait_for_queue(0.617))
-        self.assertEqual(1.0, wait_for_queue(7.0))
+        self.assertEqual(0.25, retry_after_queue(0.1))
+        self.assertEqual(0.62, retry_after_queue(0.617))
+        self.assertEqual(1.0, retry_after_queue(7.0))
 
     def test_lent_queue_is_given_time_to_shrink(self):
-        self.assertEqual(1.0, wait_for_place(0.2))
-        self.assertEqual(1.2, wait_for_place(1.2))
-        self.assertEqual(1.5, wait_for_place(9.0))
+        self.assertEqual(1.0, retry_after_place(0.2))
+        self.assertEqual(1.2, retry_after_place(1.2))
+        self.assertEqual(1.5, retry_after_place(9.0))
 
     def test_callers_last_until_lost_keys_have_an_owner(self):
         """A data centre is cut off and its keys are dark for 3.5 seconds.
@@ -43,7 +43,7 @@
         A caller asks 1.5 seconds into it. Told to come again in a quarter
         of a second, it had used up its retries half a second later.
         """
-        self.assertGreater(self.come_again(1.5, wait_for_owner), 3.5)
+        self.assertGreater(self.come_again(1.5, retry_after_owner_loss), 3.5)
         self.assertLess(self.come_again(1.5, lambda _: 0.25), 2.1)
 
     def come_again(self, now, tell):
@@ -54,13 +54,13 @@
         return now
 
     def test_return_is_told_from_when_the_owner_was_lost(self):
-        self.assertGreater(wait_for_owner(0.0), 4.0)
-        self.assertAlmostEqual(1.2, wait_for_owner(3.0))
-        self.assertEqual(UNPREPARED, wait_for_owner(9.0))
+        self.assertGreater(retry_after_owner_loss(0.0), 4.0)
+        self.assertAlmostEqual(1.2, retry_after_owner_loss(3.0))
+        self.assertEqual(STARTUP_RETRY_DELAY, retry_after_owner_loss(9.0))
 
     def test_planned_moves_are_soon_over(self):
-        self.assertEqual(0.25, wait_for_move(0.4))
-        self.assertEqual(wait_for_owner(1.0), wait_for_move(1.0))
+        self.assertEqual(0.25, retry_after_move(0.4))
+        self.assertEqual(retry_after_owner_loss(1.0), retry_after_move(1.0))
 
 
 class TestAbsence(testtools.TestCase):
@@ -68,16 +68,16 @@
 
     def test_absence_counts_from_the_first_connection_that_failed(self):
         health = UpstreamHealth()
-        self.assertEqual(0.0, health.find_absence(5.0))
+        self.assertEqual(0.0, health.find_unreachable_time(5.0))
         health.note_unreached(5.0)
         health.note_unreached(6.0)
-        self.assertEqual(2.0, health.find_absence(7.0))
+        self.assertEqual(2.0, health.find_unreachable_time(7.0))
         health.note_success(0.2)
-        self.assertEqual(0.0, health.find_absence(8.0))
+        self.assertEqual(0.0, health.find_unreachable_time(8.0))
 
     def test_move_is_seen_with_the_first_table_that_has_it(self):
         table = RangeTable().assign_first([("a", 2), ("b", 2)])
-        sightings = MoveSightings()
+        sightings = MoveObservations()
         sightings.note_table(table, 1.0)
         moving = table.begin([Move(table.tenures[0].keys, "b")])
         (tenure,) = moving.list_moving()
--- a/tests/core/requests/test_routes.py
+++ b/tests/core/requests/test_routes.py
@@ -9,8 +9,8 @@
 from sedgetide.core.configuration.policy import RouteRule
 from sedgetide.core.configuration.policy import Share
 from sedgetide.core.requests.routes import choose_service
+from sedgetide.core.requests.routes import compute_times
 from sedgetide.core.requests.routes import RouteTable
-from sedgetide.core.requests.routes import set_times
 
 ONE_SHARE = (Share("maps", 1.0),)
 
@@ -74,14 +74,18 @@
 
     def test_the_earlier_one_counts(self):
         route = make_route("r", "a", "/")
-        self.assertEqual(101.5, set_times(route, 3.0, 100.0).final)
-        self.assertEqual(100.2, set_times(route, 0.2, 100.0).final)
-        self.assertEqual(101.5, set_times(route, None, 100.0).final)
+        self.assertEqual(101.5, compute_times(route, 3.0, 100.0).final)
+        self.assertEqual(100.2, compute_times(route, 0.2, 100.0).final)
+        self.assertEqual(101.5, compute_times(route, None, 100.0).final)
 
     def test_hold_leaves_time_to_come_again(self):
         route = make_route("r", "a", "/")
-        self.assertEqual(100.25, set_times(route, 3.0, 100.0).bound_hold())
-        self.assertEqual(100.1, set_times(route, 0.2, 100.0).bound_hold())
+        self.assertEqual(
+            100.25, compute_times(route, 3.0, 100.0).find_hold_deadline()
+        )
+        self.assertEqual(
+            100.1, compute_times(route, 0.2, 100.0).find_hold_deadline()
+        )
 
 
 class TestSharesOfWindows(testtools.TestCase):
--- a/tests/core/requests/test_trials.py
+++ b/tests/core/requests/test_trials.py
@@ -7,8 +7,8 @@
 from sedgetide.core.identifiers import ServiceName
 from sedgetide.core.requests.places import Ticket
 from sedgetide.core.requests.places import Verdict
-from sedgetide.core.requests.trials import TrialDesk
 from sedgetide.core.requests.trials import TrialEnd
+from sedgetide.core.requests.trials import TrialScheduler
 
 DEADLY = Fingerprint("deadly")
 HOT = Fingerprint("hot")
@@ -23,7 +23,7 @@
 class TestTrialDesk(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.desk = TrialDesk()
+        self.desk = TrialScheduler()
 
     def ask(self, ticket, now, fingerprint=DEADLY, left=2.0, alone=None):
         decisions = self.desk.ask(ticket, fingerprint, left, now, alone)
--- a/tests/core/requests/test_turns.py
+++ b/tests/core/requests/test_windowqueue.py
@@ -3,7 +3,7 @@
 import testtools
 
 from sedgetide.core.requests.health import UpstreamHealth
-from sedgetide.core.requests.turns import WindowQueue
+from sedgetide.core.requests.windowqueue import WindowQueue
 from sedgetide.core.requests.windows import UpstreamLoad
 from sedgetide.core.requests.windows import Window
 
@@ -14,7 +14,7 @@
         self.queue = WindowQueue(Window(2), UpstreamHealth())
 
     def fill(self):
-        while self.queue.enter_now(1.0):
+        while self.queue.try_enter(1.0):
             pass
 
     def test_most_urgent_goes_first_and_then_who_came_first(self):
@@ -33,7 +33,7 @@
         self.fill()
         self.queue.push("usual", 2)
         self.queue.note_end(1.1)
-        self.assertFalse(self.queue.enter_now(1.1))
+        self.assertFalse(self.queue.try_enter(1.1))
 
     def test_who_left_is_gone_and_who_was_let_in_is_not(self):
         self.fill()
@@ -46,9 +46,9 @@
         # Ninety hosts ask a crowded upstream: each waits between two.
         for _ in range(20):
             self.queue.window.note_load(UpstreamLoad(2, 8, 2), 1.0)
-        self.assertTrue(self.queue.enter_now(1.0))
+        self.assertTrue(self.queue.try_enter(1.0))
         self.queue.note_end(1.2)
         self.queue.push("usual", 2)
         self.assertEqual([], self.queue.take(1.2))
         self.assertGreater(self.queue.find_opening(1.2), 1.5)
-        self.assertTrue(self.queue.is_hopeless(2, 0.2, 1.2))
+        self.assertTrue(self.queue.is_wait_too_long(2, 0.2, 1.2))
--- a/tests/daemons/test_breaks.py
+++ b/tests/daemons/test_crashdetector.py
@@ -11,12 +11,12 @@
 from sedgetide.core.identifiers import RequestId
 from sedgetide.core.identifiers import ServiceName
 from sedgetide.core.identifiers import UpstreamName
-from sedgetide.core.membership.directory import Directory
 from sedgetide.core.membership.directory import RegisteredUpstream
+from sedgetide.core.membership.directory import UpstreamDirectory
 from sedgetide.core.requests.attempts import Progress
-from sedgetide.core.requests.breaks import LossProof
-from sedgetide.daemons._breaks import BreakWatch
-from sedgetide.daemons._job import Job
+from sedgetide.core.requests.brokenruns import LossProof
+from sedgetide.daemons._crashdetector import CrashDetector
+from sedgetide.daemons._requestcontext import RequestContext
 from sedgetide.runtime.clock import read_clock
 from sedgetide.runtime.sockets import open_listener
 from sedgetide.testing.ports import find_port
@@ -26,7 +26,7 @@
 
 
 def make_job(number=1):
-    return Job(
+    return RequestContext(
         Request("GET", "/x", [("Host", "h")], b"", "100.64.0.9"),
         CallerFields(RequestId(f"r{number}"), 1.0, None),
         None,
@@ -40,9 +40,9 @@
 class TestBreakWatch(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.directory = Directory()
+        self.directory = UpstreamDirectory()
         self.ended = []
-        self.watch = BreakWatch(
+        self.watch = CrashDetector(
             self.directory, lambda ended, now: self.ended.append(ended)
         )
 
@@ -94,7 +94,7 @@
         upstream = self.serve(reset)
         self.watch.note_broken(make_job(), upstream)
         gevent.sleep(0.05)
-        self.watch.keep(read_clock())
+        self.watch.run_periodic(read_clock())
         self.assertEqual([], self.ended)
 
     def test_full_upstream_is_not_asked_for_each_request(self):
@@ -113,5 +113,5 @@
         upstream = self.serve(lambda connection: None)
         self.watch.note_broken(make_job(), upstream)
         self.directory.remove(upstream.registered_name, read_clock())
-        self.watch.keep(read_clock())
+        self.watch.run_periodic(read_clock())
         self.assertEqual(LossProof.WITHDRAWN, self.ended[0].proof)
--- a/tests/daemons/test_knowledge.py
+++ b/tests/daemons/test_deployment.py
@@ -3,8 +3,8 @@
 import msgspec
 import testtools
 
-from sedgetide.backends.dialects import EvacuationWish
-from sedgetide.backends.dialects import Withdrawn
+from sedgetide.backends.dialects import EvacuationRequest
+from sedgetide.backends.dialects import UpstreamWithdrawn
 from sedgetide.backends.leasestore import Item
 from sedgetide.backends.leasestore import Listing
 from sedgetide.coding.ranges import encode_ranges
@@ -14,11 +14,11 @@
 from sedgetide.core.membership.evacuations import Evacuations
 from sedgetide.core.ownership.leadership import LeaderRecord
 from sedgetide.core.ownership.ranges import RangeTable
-from sedgetide.daemons._knowledge import Knowledge
-from sedgetide.daemons._records import make_leader_key
-from sedgetide.daemons._records import make_quarantine_key
-from sedgetide.daemons._records import make_ranges_key
-from tests.daemons.test_campaign import FakeCatalogue
+from sedgetide.daemons._deployment import DeploymentState
+from sedgetide.daemons._recordkeys import make_leader_key
+from sedgetide.daemons._recordkeys import make_quarantine_key
+from sedgetide.daemons._recordkeys import make_ranges_key
+from tests.daemons.test_election import FakeCatalogue
 
 SERVICE = "maps"
 CENTRE = "dc"
@@ -42,31 +42,31 @@
 
     def setUp(self):
         super().setUp()
-        self.known = Knowledge(FakeCatalogue())
+        self.known = DeploymentState(FakeCatalogue())
 
     def list_items(self, era, *items):
         position = Position(era, 100)
-        self.known.take_listing(Listing(list(items), position), 10.0)
-        self.known.note_heard(position, 10.0)
+        self.known.apply_listing(Listing(list(items), position), 10.0)
+        self.known.record_sync(position, 10.0)
 
     def test_older_table_of_the_copy_changes_nothing(self):
         # Guards against a host that sends requests where keys were before.
         self.list_items(0, make_table(0, NEW, 0, 50))
         self.list_items(1, make_table(0, OLD, 1, 20))
         self.assertEqual(NEW, self.known.find_table(SERVICE))
-        self.assertIsNone(self.known.find_table_of(SERVICE, 1))
+        self.assertIsNone(self.known.find_table_in_era(SERVICE, 1))
 
     def test_table_of_the_copy_is_a_hint_to_hosts_that_start(self):
         self.list_items(1, make_table(0, OLD, 1, 20))
         self.assertEqual(OLD, self.known.find_table(SERVICE))
-        self.assertIsNone(self.known.find_table_of(SERVICE, 1))
+        self.assertIsNone(self.known.find_table_in_era(SERVICE, 1))
 
     def test_table_of_the_era_counts_whatever_its_revision(self):
         self.list_items(0, make_table(0, NEW, 0, 50))
         self.list_items(
             1, make_table(0, OLD, 1, 60), make_table(1, FIRST, 1, 30)
         )
-        self.assertEqual(FIRST, self.known.find_table_of(SERVICE, 1))
+        self.assertEqual(FIRST, self.known.find_table_in_era(SERVICE, 1))
         self.assertEqual(FIRST, self.known.find_table(SERVICE))
 
     def test_leader_of_an_earlier_era_leads_nobody(self):
@@ -75,13 +75,13 @@
         self.list_items(0, record)
         self.known.note_era(1, 9.0)
         self.assertIsNone(self.known.leader)
-        self.assertFalse(self.known.follows_era)
+        self.assertFalse(self.known.has_listed_era)
         self.list_items(1, Item(make_leader_key(0), Position(1, 5), LEADER))
         self.assertIsNone(self.known.leader)
-        self.assertTrue(self.known.follows_era)
+        self.assertTrue(self.known.has_listed_era)
         gone = Item(make_leader_key(0), Position(1, 102), None)
         found = Item(make_leader_key(1), Position(1, 101), LEADER)
-        self.known.take_items([found, gone], 11.0)
+        self.known.apply_items([found, gone], 11.0)
         self.assertEqual("h-1", self.known.leader.record.host)
 
     def test_quarantine_is_to_be_written_again(self):
@@ -99,7 +99,7 @@
         self.list_items(0)
         self.known.note_era(1, 9.0)
         self.list_items(1)
-        self.assertEqual(11.3, self.known.find_settled_at())
+        self.assertEqual(11.3, self.known.find_reregistration_end())
 
 
 class Registry(FakeCatalogue):
@@ -107,9 +107,9 @@
 
     def read(self, key, value):
         if key == WISH:
-            return EvacuationWish(CENTRE, value is not None)
+            return EvacuationRequest(CENTRE, value is not None)
         if value is None:
-            return Withdrawn(key)
+            return UpstreamWithdrawn(key)
         return RegisteredUpstream(
             key, SERVICE, key, CENTRE, leaving=value == LEAVING
         )
@@ -120,14 +120,14 @@
 
     def setUp(self):
         super().setUp()
-        self.known = Knowledge(Registry(), Evacuations(5.0))
+        self.known = DeploymentState(Registry(), Evacuations(5.0))
         self.revision = 0
 
     def write(self, now, key, value, era=0):
         self.revision += 1
         position = Position(era, self.revision)
-        self.known.take_items([Item(key, position, value)], now)
-        self.known.note_heard(position, now)
+        self.known.apply_items([Item(key, position, value)], now)
+        self.known.record_sync(position, now)
 
     def return_from_copy(self, now, **items):
         """Let the host list what a copy shows."""
@@ -138,8 +138,8 @@
             for key, value in items.items()
         ]
         self.known.note_era(1, now)
-        self.known.take_listing(Listing(shown, position), now)
-        self.known.note_heard(position, now)
+        self.known.apply_listing(Listing(shown, position), now)
+        self.known.record_sync(position, now)
 
     def list_active(self):
         found = self.known.directory.list_active(SERVICE)
@@ -197,16 +197,16 @@
         self.assertEqual(["u1"], self.list_active())
 
     def list_evacuated(self):
-        return list(self.known.directory.evacuations.list_asked())
+        return list(self.known.directory.evacuations.list_evacuating())
 
     def test_evacuation_goes_on_until_it_is_written_again(self):
         # Guards against work that goes back to a data centre for a second.
         self.write(1.0, WISH, b"{}")
         self.return_from_copy(5.0)
-        self.known.settle(7.0)
+        self.known.apply_pending_evacuations(7.0)
         self.assertEqual([CENTRE], self.list_evacuated())
         self.write(7.1, WISH, b"{}", era=1)
-        self.known.settle(9.0)
+        self.known.apply_pending_evacuations(9.0)
         self.assertEqual([CENTRE], self.list_evacuated())
 
     def test_evacuation_that_was_taken_back_does_not_begin_again(self):
@@ -216,13 +216,13 @@
         self.return_from_copy(5.0, op_wish=b"{}")
         self.assertEqual([], self.list_evacuated())
         self.write(6.0, WISH, None, era=1)
-        self.known.settle(9.0)
+        self.known.apply_pending_evacuations(9.0)
         self.assertEqual([], self.list_evacuated())
 
     def test_what_nobody_writes_again_is_taken_in_the_end(self):
         self.write(1.0, WISH, b"{}")
         self.return_from_copy(5.0)
-        self.known.settle(7.4)
+        self.known.apply_pending_evacuations(7.4)
         self.assertEqual([], self.list_evacuated())
 
     def test_host_that_starts_takes_what_there_is(self):
--- a/tests/daemons/test_campaign.py
+++ b/tests/daemons/test_election.py
@@ -3,7 +3,7 @@
 import msgspec
 import testtools
 
-from sedgetide.backends.dialects import Catalogue
+from sedgetide.backends.dialects import RegistryDialect
 from sedgetide.backends.leasestore import LeaseStore
 from sedgetide.core.errors import ErrorCode
 from sedgetide.core.errors import Step
@@ -13,12 +13,12 @@
 from sedgetide.core.history import NO_POSITION
 from sedgetide.core.history import Position
 from sedgetide.core.ownership.leadership import Durations
-from sedgetide.core.ownership.leadership import find_yield
+from sedgetide.core.ownership.leadership import find_election_delay
 from sedgetide.core.ownership.leadership import LeaderRecord
 from sedgetide.core.ownership.leadership import Leadership
-from sedgetide.daemons._campaign import Campaign
-from sedgetide.daemons._knowledge import Knowledge
-from sedgetide.daemons._records import make_leader_key
+from sedgetide.daemons._deployment import DeploymentState
+from sedgetide.daemons._election import Election
+from sedgetide.daemons._recordkeys import make_leader_key
 from sedgetide.runtime.clock import read_clock
 from sedgetide.testing.leasestore import LeaseStoreModel
 
@@ -26,7 +26,7 @@
 AS_OF = Position(FIRST_ERA, 1)
 
 
-class FakeCatalogue(Catalogue):
+class FakeCatalogue(RegistryDialect):
     """Knows nothing."""
 
     def list_prefixes(self):
@@ -91,17 +91,17 @@
         self.store = ModelStore(self.model)
         self.durations = Durations(verify=0.001)
         self.leadership = Leadership(self.durations)
-        self.knowledge = Knowledge(FakeCatalogue())
-        self.campaign = Campaign(
+        self.deployment = DeploymentState(FakeCatalogue())
+        self.campaign = Election(
             self.store,
             LeaderRecord("h-1", "x", "1.1.1.1:1"),
             self.leadership,
-            self.knowledge,
+            self.deployment,
             self.durations,
         )
 
     def step(self, later=0.0):
-        self.knowledge.note_heard(AS_OF, read_clock() + later)
+        self.deployment.record_sync(AS_OF, read_clock() + later)
         self.campaign.step(read_clock() + later)
 
     def stand(self):
@@ -117,21 +117,21 @@
         # The leader of ninety hosts is killed. The next one renews some
         # five hundred grants a second: a host with 0.4 of a core falls
         # behind, grants run out and their keys' callers are refused.
-        last_of_the_strong = find_yield(2.0) + 0.4
-        weak = Campaign(
+        last_of_the_strong = find_election_delay(2.0) + 0.4
+        weak = Election(
             self.store,
             LeaderRecord("h-2", "y", "1.1.1.2:1"),
             Leadership(self.durations),
-            self.knowledge,
+            self.deployment,
             self.durations,
             processors=0.4,
         )
         now = read_clock()
         for later in (0.0, 0.2, 0.3):
-            self.knowledge.note_heard(AS_OF, now)
+            self.deployment.record_sync(AS_OF, now)
             weak.step(now + later)
         self.assertIsNone(self.model.find(LEADER_KEY))
-        weak.step(now + last_of_the_strong + find_yield(0.4))
+        weak.step(now + last_of_the_strong + find_election_delay(0.4))
         self.assertIsNotNone(self.model.find(LEADER_KEY))
 
     def test_does_not_stand_on_old_news(self):
@@ -147,7 +147,7 @@
         self.assertEqual(NO_POSITION, self.leadership.term)
 
     def list_own(self):
-        self.knowledge.take_items(self.model.list("").items, read_clock())
+        self.deployment.apply_items(self.model.list("").items, read_clock())
 
     def test_takes_over_from_its_own_process_that_was_killed(self):
         # All hosts are killed and back within a second. Were the record of
@@ -190,7 +190,7 @@
         """Have the store come back, and the host hear of it."""
         self.model.restore(self.model.copy(), read_clock())
         self.leadership.note_era(1)
-        self.knowledge.note_era(1, read_clock())
+        self.deployment.note_era(1, read_clock())
 
     def test_leads_on_the_last_proof_only_after_a_return(self):
         # Guards against a term that goes on by a record from the copy.
@@ -234,7 +234,7 @@
         self.step(self.durations.proof_life)
         self.step(5.0)
         self.assertIsNone(self.model.find(make_leader_key(1)))
-        self.knowledge.note_heard(Position(1, 1), read_clock())
+        self.deployment.record_sync(Position(1, 1), read_clock())
         self.step(5.0)
         self.step(6.0)
         self.assertIsNotNone(self.model.find(make_leader_key(1)))
