--- a/tests/daemons/test_feed.py
+++ b/tests/daemons/test_feed.py
@@ -2,18 +2,18 @@
 
 import testtools
 
-from sedgetide.backends.dialects import Catalogue
-from sedgetide.backends.dialects import Withdrawn
-from sedgetide.backends.eras import EraWatch
+from sedgetide.backends.dialects import RegistryDialect
+from sedgetide.backends.dialects import UpstreamWithdrawn
+from sedgetide.backends.eras import EraTracker
 from sedgetide.backends.leasestore import Item
 from sedgetide.backends.leasestore import Listing
 from sedgetide.coding.messages import StoreFeed
 from sedgetide.core.history import Position
 from sedgetide.core.membership.directory import RegisteredUpstream
+from sedgetide.daemons._deployment import DeploymentState
 from sedgetide.daemons._feed import FEED_LIFE
-from sedgetide.daemons._feed import FeedSink
-from sedgetide.daemons._feed import FeedSource
-from sedgetide.daemons._knowledge import Knowledge
+from sedgetide.daemons._feed import FeedPublisher
+from sedgetide.daemons._feed import FeedReceiver
 
 LINK = "10.0.0.2:1"
 
@@ -23,7 +23,7 @@
     return Position(era, revision)
 
 
-class FakeCatalogue(Catalogue):
+class FakeCatalogue(RegistryDialect):
     """Every key is an upstream."""
 
     def list_prefixes(self):
@@ -31,7 +31,7 @@
 
     def read(self, key, value):
         if value is None:
-            return Withdrawn(key)
+            return UpstreamWithdrawn(key)
         return RegisteredUpstream(key, "maps", "a", "dc")
 
 
@@ -40,18 +40,18 @@
 
     def setUp(self):
         super().setUp()
-        self.leader = Knowledge(FakeCatalogue())
-        self.host = Knowledge(FakeCatalogue())
-        self.eras = EraWatch()
-        self.sink = FeedSink(self.host, self.eras)
+        self.leader = DeploymentState(FakeCatalogue())
+        self.host = DeploymentState(FakeCatalogue())
+        self.eras = EraTracker()
+        self.sink = FeedReceiver(self.host, self.eras)
         self.sent = []
-        self.source = FeedSource(
+        self.source = FeedPublisher(
             self.leader, lambda _, message: self.sent.append(message)
         )
 
     def tell_leader(self, revision, key, value=b"x", now=100.0):
-        self.leader.take_items([Item(key, at(revision), value)], now)
-        self.leader.note_heard(at(revision), now)
+        self.leader.apply_items([Item(key, at(revision), value)], now)
+        self.leader.record_sync(at(revision), now)
 
     def report(self, now):
         self.source.note_report(LINK, self.host.as_of, now)
@@ -124,8 +124,8 @@
         self.report(100.0)
         self.feed_versions(value, value + b"a")
         first, second = self.sent
-        self.host.take_items([Item("u-1", at(4), value)], 100.0)
-        self.host.note_heard(at(5), 100.0)
+        self.host.apply_items([Item("u-1", at(4), value)], 100.0)
+        self.host.record_sync(at(5), 100.0)
         self.sent = [second]
         self.deliver(100.0)
         self.assertEqual(4, self.host.find_item("u-1").position.revision)
@@ -224,12 +224,12 @@
         other = "10.0.0.3:1"
         self.tell_leader(5, "u-1", b"x" * 140_000)
         for moment in (100.0, 100.4, 100.8, 101.2, 101.3):
-            self.leader.note_heard(at(5), moment)
+            self.leader.record_sync(at(5), moment)
             self.report(moment)
             self.source.note_report(other, at(0), moment)
         large = [each for each in self.sent if each.items]
         self.assertEqual(1, len(large))
-        self.leader.note_heard(at(5), 101.6)
+        self.leader.record_sync(at(5), 101.6)
         self.source.note_report(other, at(0), 101.6)
         large = [each for each in self.sent if each.items]
         self.assertEqual(2, len(large))
@@ -241,7 +241,7 @@
         self.report(100.0)
         self.deliver(100.0)
         self.assertFalse(self.sink.is_fresh(100.0))
-        self.host.note_heard(at(5), 100.1)
+        self.host.record_sync(at(5), 100.1)
         self.tell_leader(6, "u-2", now=100.2)
         self.report(100.3)
         self.deliver(100.3)
@@ -254,7 +254,7 @@
         self.tell_leader(5, "u-1")
         self.report(100.0)
         self.deliver(100.0)
-        self.leader.directory.note_disturbance(101.0)
+        self.leader.directory.note_registry_outage(101.0)
         self.tell_leader(7, "u-1", None, 101.0)
         self.source.publish(101.0)
         self.deliver(101.0)
@@ -267,8 +267,8 @@
     def return_from_copy(self, names, now=101.0):
         """Let the leader list the store in its second era."""
         items = [Item(name, at(3, 1), b"x") for name in names]
-        self.leader.take_listing(Listing(items, at(4, 1)), now)
-        self.leader.note_heard(at(4, 1), now)
+        self.leader.apply_listing(Listing(items, at(4, 1)), now)
+        self.leader.record_sync(at(4, 1), now)
 
     def feed_both(self):
         self.tell_leader(50, "u-1")
@@ -278,7 +278,7 @@
     def feed_until_read(self):
         """Report until a host that reads nothing itself is told all."""
         for moment in (101.0, 101.4, 102.2):
-            self.leader.note_heard(at(4, 1), moment)
+            self.leader.record_sync(at(4, 1), moment)
             self.report(moment)
 
     def test_host_that_knows_an_earlier_era_is_told_all(self):
@@ -299,7 +299,7 @@
         for moment in (101.0, 101.4, 101.8):
             self.source.tell_era(LINK, self.host.as_of, moment)
         self.assertEqual([], self.sent)
-        self.leader.note_heard(at(4, 1), 102.1)
+        self.leader.record_sync(at(4, 1), 102.1)
         self.source.tell_era(LINK, self.host.as_of, 102.1)
         self.deliver(102.1)
         self.assertEqual(at(4, 1), self.host.as_of)
@@ -330,8 +330,8 @@
         # Guards against its words, which look newer by their revision.
         self.feed_both()
         items = [Item("u-2", at(3, 1), b"x")]
-        self.host.take_listing(Listing(items, at(4, 1)), 101.0)
-        self.host.note_heard(at(4, 1), 101.0)
+        self.host.apply_listing(Listing(items, at(4, 1)), 101.0)
+        self.host.record_sync(at(4, 1), 101.0)
         self.tell_leader(60, "u-3", now=101.0)
         self.source.publish(101.0)
         self.deliver(101.0)
@@ -347,22 +347,24 @@
     def test_newer_entry_survives_an_older_listing(self):
         # The listing was read before u-2 registered and arrives after the
         # feed has told of it.
-        known = Knowledge(FakeCatalogue())
-        known.take_items(
+        known = DeploymentState(FakeCatalogue())
+        known.apply_items(
             [Item("u-1", at(3), b"x"), Item("u-2", at(9), b"x")], 1.0
         )
-        known.take_listing(Listing([Item("u-3", at(4), b"x")], at(5)), 2.0)
+        known.apply_listing(Listing([Item("u-3", at(4), b"x")], at(5)), 2.0)
         names = [each.name for each in known.directory.list_all()]
         self.assertEqual(["u-2", "u-3"], sorted(names))
 
     def test_low_revision_of_a_later_era_is_news(self):
         # Guards against a version, a leaving and a start that are dropped.
-        known = Knowledge(FakeCatalogue())
-        known.take_items([Item("u-1", at(200), b"x")], 1.0)
-        known.note_heard(at(200), 1.0)
-        known.take_listing(Listing([Item("u-1", at(3, 1), b"x")], at(9, 1)), 2)
-        known.note_heard(at(9, 1), 2.0)
-        known.take_items(
+        known = DeploymentState(FakeCatalogue())
+        known.apply_items([Item("u-1", at(200), b"x")], 1.0)
+        known.record_sync(at(200), 1.0)
+        known.apply_listing(
+            Listing([Item("u-1", at(3, 1), b"x")], at(9, 1)), 2
+        )
+        known.record_sync(at(9, 1), 2.0)
+        known.apply_items(
             [Item("u-2", at(10, 1), b"x"), Item("u-1", at(11, 1), None)], 9.0
         )
         names = [each.name for each in known.directory.list_all()]
@@ -370,8 +372,8 @@
 
     def test_high_revision_of_an_earlier_era_is_none(self):
         # Guards against an answer that was under way during the return.
-        known = Knowledge(FakeCatalogue())
-        known.take_listing(Listing([], at(9, 1)), 2.0)
-        known.note_heard(at(9, 1), 2.0)
-        known.take_items([Item("u-1", at(200), b"x")], 3.0)
+        known = DeploymentState(FakeCatalogue())
+        known.apply_listing(Listing([], at(9, 1)), 2.0)
+        known.record_sync(at(9, 1), 2.0)
+        known.apply_items([Item("u-1", at(200), b"x")], 3.0)
         self.assertEqual([], known.directory.list_all())
--- a/tests/daemons/test_reporter.py
+++ b/tests/daemons/test_loadreporter.py
@@ -3,7 +3,7 @@
 import testtools
 
 from sedgetide.core.requests.windows import UpstreamLoad
-from sedgetide.daemons._reporter import LoadMeter
+from sedgetide.daemons._loadreporter import LoadMeter
 
 
 class TestSlowness(testtools.TestCase):
--- a/tests/daemons/test_logs.py
+++ b/tests/daemons/test_logs.py
@@ -7,12 +7,12 @@
 import testtools
 
 from sedgetide.daemons._logs import BoundedHandler
-from sedgetide.daemons._logs import format_pairs
-from sedgetide.daemons._logs import LineBound
+from sedgetide.daemons._logs import format_logfmt
+from sedgetide.daemons._logs import LineRateLimit
 from sedgetide.daemons._logs import make_formatter
 from sedgetide.runtime.events import Event
+from sedgetide.runtime.events import log_event
 from sedgetide.runtime.events import make_page
-from sedgetide.runtime.events import tell
 
 PAGE = pathlib.Path(__file__).parents[2] / "docs" / "logs.md"
 
@@ -21,7 +21,7 @@
     """Values that hold spaces or quotes stay one value."""
 
     def test_pairs(self):
-        line = format_pairs({"event": "a b", "n": 3, "q": 'x"\n', "e": ""})
+        line = format_logfmt({"event": "a b", "n": 3, "q": 'x"\n', "e": ""})
         self.assertEqual('event="a b" n=3 q="x\\"\\n" e=""', line)
 
 
@@ -29,7 +29,7 @@
     """Answered requests are left out first."""
 
     def test_failures_are_kept_before_successes(self):
-        bound = LineBound(10, 4)
+        bound = LineRateLimit(10, 4)
         kept = [bound.admit(True, 5.0) for _ in range(20)]
         self.assertEqual(6, sum(kept))
         kept = [bound.admit(False, 5.1) for _ in range(20)]
@@ -46,7 +46,7 @@
         self.reader, self.writer = os.pipe()
         self.addCleanup(os.close, self.reader)
         self.addCleanup(os.close, self.writer)
-        self.handler = BoundedHandler(self.writer, LineBound(10**6, 0))
+        self.handler = BoundedHandler(self.writer, LineRateLimit(10**6, 0))
         self.handler.setFormatter(make_formatter("h-1", "p"))
 
     def emit(self, count):
@@ -97,7 +97,7 @@
         level = log.level
         self.addCleanup(log.setLevel, level)
         log.setLevel(logging.INFO)
-        self.assertRaises(ValueError, tell, Event.LEADING, color="red")
+        self.assertRaises(ValueError, log_event, Event.LEADING, color="red")
 
     def test_names_are_unique(self):
         names = [event.value.name for event in Event]
--- a/tests/daemons/test_orders.py
+++ b/tests/daemons/test_orderclient.py
@@ -7,8 +7,8 @@
 import testtools
 
 from sedgetide.core.ownership.ranges import KeyRange
-from sedgetide.daemons._orders import OrderLane
-from sedgetide.daemons._orders import Taken
+from sedgetide.daemons._orderclient import OrderClient
+from sedgetide.daemons._orderclient import OrderOutcome
 from sedgetide.platform._orders import PlatformOrders
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
@@ -31,7 +31,7 @@
 
     def make_lane(self, settling=0.003):
         address = f"127.0.0.1:{self.listener.getsockname()[1]}"
-        lane = OrderLane("u-1", address, PlatformOrders(), 0.5, settling)
+        lane = OrderClient("u-1", address, PlatformOrders(), 0.5, settling)
         self.addCleanup(lane.close)
         return lane
 
@@ -54,14 +54,14 @@
         task = gevent.spawn(reset)
         result = self.lane.grant(KEYS, 1, "", self.prepare)
         task.join()
-        self.assertIs(Taken.UNSENT, result.taken)
+        self.assertIs(OrderOutcome.UNSENT, result.taken)
         self.assertEqual([], self.prepared)
 
     def test_unanswered_grant_may_have_been_taken(self):
         task = gevent.spawn(self.listener.accept)
         result = self.lane.grant(KEYS, 1, "", self.prepare)
         task.join()
-        self.assertIs(Taken.UNKNOWN, result.taken)
+        self.assertIs(OrderOutcome.UNKNOWN, result.taken)
         self.assertEqual([1], self.prepared)
 
 
@@ -118,7 +118,7 @@
         self.upstream = Upstream()
         self.addCleanup(self.upstream.stop)
         address = f"127.0.0.1:{self.upstream.port}"
-        self.lane = OrderLane("u-1", address, PlatformOrders(), 0.5)
+        self.lane = OrderClient("u-1", address, PlatformOrders(), 0.5)
         self.addCleanup(self.lane.close)
 
     def grant(self):
@@ -126,7 +126,7 @@
 
     def test_kept_connection_goes_to_the_same_process(self):
         for _ in range(3):
-            self.assertIs(Taken.DONE, self.grant())
+            self.assertIs(OrderOutcome.DONE, self.grant())
         self.assertEqual(0, self.lane.session)
 
     def test_restart_between_two_orders(self):
@@ -141,7 +141,7 @@
     def test_refused_connection(self):
         # A leader that never had a connection meets it while it is down.
         self.upstream.stop()
-        self.assertIs(Taken.UNSENT, self.grant())
+        self.assertIs(OrderOutcome.UNSENT, self.grant())
         self.assertEqual(1, self.lane.session)
 
     def test_order_in_hand_at_the_crash(self):
@@ -152,7 +152,7 @@
             return 3.5
 
         result = self.lane.grant(KEYS, 1, "", crash)
-        self.assertIs(Taken.UNKNOWN, result.taken)
+        self.assertIs(OrderOutcome.UNKNOWN, result.taken)
         self.assertEqual(1, self.lane.session)
 
     def test_restart_while_another_order_is_under_way(self):
@@ -189,8 +189,8 @@
 
         first = gevent.spawn(self.lane.grant, KEYS, 1, "", hold_back)
         gevent.sleep(0.02)
-        self.assertIs(Taken.DONE, self.grant())
-        self.assertIs(Taken.DONE, first.get().taken)
+        self.assertIs(OrderOutcome.DONE, self.grant())
+        self.assertIs(OrderOutcome.DONE, first.get().taken)
         self.assertEqual(0, self.lane.session)
 
     def test_announced_end_of_the_only_connection(self):
@@ -198,7 +198,7 @@
         # a new fence each time would keep them dark for nothing.
         self.upstream.answer = CLOSING
         for _ in range(3):
-            self.assertIs(Taken.DONE, self.grant())
+            self.assertIs(OrderOutcome.DONE, self.grant())
         self.assertEqual(0, self.lane.session)
 
     def test_pause_before_the_next_connection_proves_nothing(self):
@@ -207,7 +207,7 @@
         # listens afterwards may be another start.
         self.upstream.answer = CLOSING
         self.upstream.pause = 0.2
-        self.assertIs(Taken.DONE, self.grant())
+        self.assertIs(OrderOutcome.DONE, self.grant())
         self.assertEqual(1, self.lane.session)
 
     def test_restart_after_the_announced_end_of_the_only_connection(self):
@@ -215,17 +215,17 @@
         # open that its next start could close.
         self.upstream.answer = CLOSING
         self.upstream.ends = True
-        self.assertIs(Taken.DONE, self.grant())
+        self.assertIs(OrderOutcome.DONE, self.grant())
         self.upstream.answer = OBEYED
         self.upstream.ends = False
         self.upstream.start()
-        self.assertIs(Taken.DONE, self.grant())
+        self.assertIs(OrderOutcome.DONE, self.grant())
         self.assertEqual(1, self.lane.session)
 
     def test_unanswered_order_says_nothing_of_a_restart(self):
         # Some upstreams leave orders unanswered for seconds. To move their
         # keys to a new fence each time would cost more than it guards.
         self.upstream._serve = lambda peer: gevent.sleep(9)
-        self.assertIs(Taken.UNKNOWN, self.grant())
-        self.assertIs(Taken.UNKNOWN, self.grant())
+        self.assertIs(OrderOutcome.UNKNOWN, self.grant())
+        self.assertIs(OrderOutcome.UNKNOWN, self.grant())
         self.assertEqual(0, self.lane.session)
--- a/tests/daemons/test_orderdesk.py
+++ b/tests/daemons/test_orderexecutor.py
@@ -12,15 +12,15 @@
 from sedgetide.core.ownership.ranges import Move
 from sedgetide.core.ownership.ranges import RangeTable
 from sedgetide.core.ownership.terms import Term
-from sedgetide.daemons._knowledge import Knowledge
-from sedgetide.daemons._orderdesk import OrderDesk
-from sedgetide.daemons._orderdesk import OrderLanes
-from sedgetide.daemons._orders import OrderResult
-from sedgetide.daemons._orders import Taken
+from sedgetide.daemons._deployment import DeploymentState
+from sedgetide.daemons._orderclient import OrderOutcome
+from sedgetide.daemons._orderclient import OrderResult
+from sedgetide.daemons._orderexecutor import OrderClients
+from sedgetide.daemons._orderexecutor import OrderExecutor
 from sedgetide.platform._orders import PlatformOrders
 from sedgetide.runtime.clock import read_clock
-from tests.daemons.test_campaign import FakeCatalogue
-from tests.daemons.test_orders import Upstream
+from tests.daemons.test_election import FakeCatalogue
+from tests.daemons.test_orderclient import Upstream
 
 SERVICE = "maps"
 TERM = Position(0, 7)
@@ -36,21 +36,21 @@
         durations = Durations(renew=0.1, order_timeout=0.3)
         leadership = Leadership(durations)
         leadership.begin(TERM, read_clock(), read_clock())
-        self.knowledge = Knowledge(FakeCatalogue())
+        self.deployment = DeploymentState(FakeCatalogue())
         entry = RegisteredUpstream(
             "u-1", SERVICE, f"127.0.0.1:{self.upstream.port}", "dc", born=5
         )
-        self.knowledge.directory.put(entry, read_clock())
+        self.deployment.directory.put(entry, read_clock())
         self.table = RangeTable().assign_first([(entry.name, 1)])
-        self.knowledge.take_table(
+        self.deployment.update_table(
             SERVICE, self.table, Position(0, 8), read_clock()
         )
-        lanes = OrderLanes(PlatformOrders(), durations.order_timeout)
-        lanes.note_addresses(self.knowledge.directory, read_clock())
+        lanes = OrderClients(PlatformOrders(), durations.order_timeout)
+        lanes.note_addresses(self.deployment.directory, read_clock())
         self.addCleanup(lanes.forget, ())
-        self.desk = OrderDesk(
+        self.desk = OrderExecutor(
             Term(leadership, durations),
-            self.knowledge,
+            self.deployment,
             lanes,
             durations,
             lambda *_: None,
@@ -98,9 +98,9 @@
         self.waiting.set()
         self.opened.wait(5.0)
         if not may_leave():
-            return OrderResult(Taken.UNSENT)
+            return OrderResult(OrderOutcome.UNSENT)
         self._sent.append((kind, keys.low, fence))
-        return OrderResult(Taken.DONE)
+        return OrderResult(OrderOutcome.DONE)
 
     def grant(self, keys, fence, handover, prepare):
         return self._give("grant", keys, fence, prepare)
@@ -132,12 +132,12 @@
         leadership = Leadership(durations)
         # Whatever an earlier leader granted has run out.
         leadership.begin(TERM, read_clock(), read_clock() - 60.0)
-        self.knowledge = Knowledge(FakeCatalogue())
+        self.deployment = DeploymentState(FakeCatalogue())
         self.lanes = SlowLanes(("u-1", "u-2", "u-3"))
         self.moved = []
-        self.desk = OrderDesk(
+        self.desk = OrderExecutor(
             Term(leadership, durations),
-            self.knowledge,
+            self.deployment,
             self.lanes,
             durations,
             lambda _, tenure: self.moved.append(tenure),
@@ -149,7 +149,7 @@
     def put_in_force(self, table):
         self.revision += 1
         self.table = table
-        self.knowledge.take_table(
+        self.deployment.update_table(
             SERVICE, table, Position(0, self.revision), read_clock()
         )
 
@@ -180,7 +180,7 @@
     def test_owners_of_a_later_era_get_no_orders_of_this_term(self):
         # Guards against two owners: the next leader counts on its own grants
         # only, once an upstream has given back all keys.
-        self.knowledge.take_table(
+        self.deployment.update_table(
             SERVICE, self.table, Position(1, 2), read_clock()
         )
         self.desk.follow(SERVICE, self.table)
--- a/tests/daemons/test_places.py
+++ b/tests/daemons/test_places.py
@@ -14,11 +14,11 @@
 from sedgetide.core.membership.directory import RegisteredUpstream
 from sedgetide.core.membership.lenders import LenderList
 from sedgetide.core.membership.lenders import LendingHost
-from sedgetide.daemons._knowledge import Knowledge
+from sedgetide.daemons._deployment import DeploymentState
 from sedgetide.daemons._places import Place
 from sedgetide.daemons._places import PlaceRefused
 from sedgetide.daemons._places import Places
-from sedgetide.platform._catalogue import PlatformCatalogue
+from sedgetide.platform._registry import PlatformRegistry
 
 NORTH = DataCentre("north")
 LENDER = LinkAddress("10.0.0.1:7000")
@@ -37,16 +37,16 @@
         self.asker = self.hosts[ASKER]
 
     def make(self, link):
-        knowledge = Knowledge(PlatformCatalogue())
+        deployment = DeploymentState(PlatformRegistry())
         hosts = (LendingHost(LENDER, NORTH),)
-        knowledge.take_lenders(LenderList(hosts))
+        deployment.set_lenders(LenderList(hosts))
 
         def send(goal, message):
             self.sent.append(message)
             if not self.lost:
                 gevent.spawn(self.hosts[goal].take, message, link)
 
-        return Places(link, knowledge, send, random.Random(1))
+        return Places(link, deployment, send, random.Random(1))
 
     def enter(self, link=ASKER, left=0.5, priority=2):
         return self.hosts[link].enter(UPSTREAM, priority, left)
--- a/tests/daemons/test_quarantine.py
+++ b/tests/daemons/test_quarantine.py
@@ -9,9 +9,9 @@
 from sedgetide.core.identifiers import IncarnationName
 from sedgetide.core.identifiers import LinkAddress
 from sedgetide.core.identifiers import RequestId
-from sedgetide.core.requests.breaks import BrokenRun
-from sedgetide.core.requests.breaks import EndedUpstream
-from sedgetide.core.requests.breaks import LossProof
+from sedgetide.core.requests.brokenruns import BrokenRun
+from sedgetide.core.requests.brokenruns import EndedUpstream
+from sedgetide.core.requests.brokenruns import LossProof
 from sedgetide.core.requests.quarantine import Quarantine
 from sedgetide.daemons._quarantine import SharedQuarantine
 
@@ -37,12 +37,12 @@
 
     def lose(self, name, at, suspects=(DEADLY,)):
         runs = tuple(BrokenRun(RequestId("r"), each, at) for each in suspects)
-        self.shared.take_ended(
+        self.shared.note_upstream_end(
             EndedUpstream(IncarnationName(name), LossProof.REFUSED, runs), at
         )
 
     def knows(self, now):
-        return self.quarantine.find_stay(DEADLY, now) > 0.0
+        return self.quarantine.find_stay_left(DEADLY, now) > 0.0
 
 
 class Net:
@@ -159,7 +159,7 @@
         for turn in range(50):
             now = 12.0 + turn * _REPORT_EVERY
             for host in self.net.hosts:
-                host.shared.keep(now)
+                host.shared.run_periodic(now)
             self.net.report(now)
         self.assertEqual(before, self.net.delivered)
 
@@ -209,7 +209,7 @@
 
     def step(self, turn, now):
         for host in self.net.hosts:
-            host.shared.keep(now)
+            host.shared.run_periodic(now)
         self.net.deliver(now)
         if turn % 4 == 0:
             self.net.report(now)
--- a/tests/daemons/test_quarantinerecord.py
+++ b/tests/daemons/test_quarantinerecord.py
@@ -8,11 +8,11 @@
 from sedgetide.core.errors import StoreError
 from sedgetide.core.history import NO_POSITION
 from sedgetide.core.history import Position
-from sedgetide.daemons._knowledge import Knowledge
+from sedgetide.daemons._deployment import DeploymentState
 from sedgetide.daemons._quarantinerecord import QuarantineWriter
-from sedgetide.daemons._records import make_leader_key
-from sedgetide.daemons._records import make_quarantine_key
-from sedgetide.platform._catalogue import PlatformCatalogue
+from sedgetide.daemons._recordkeys import make_leader_key
+from sedgetide.daemons._recordkeys import make_quarantine_key
+from sedgetide.platform._registry import PlatformRegistry
 
 TERM = Position(0, 7)
 LEADER_KEY = make_leader_key(TERM.era)
@@ -37,51 +37,51 @@
     def setUp(self):
         super().setUp()
         self.store = Store()
-        self.knowledge = Knowledge(PlatformCatalogue())
-        self.writer = QuarantineWriter(self.store, self.knowledge)
+        self.deployment = DeploymentState(PlatformRegistry())
+        self.writer = QuarantineWriter(self.store, self.deployment)
 
     def hold(self):
         for number, at in enumerate((0.0, 4.0, 8.0)):
-            self.knowledge.quarantine.note_loss(f"u{number}", ["f"], at, at)
+            self.deployment.quarantine.note_loss(f"u{number}", ["f"], at, at)
 
     def read_back(self, now):
         """Let the watch bring what was written last."""
         write = self.store.calls[-1][1][0]
         revision = Position(0, 10 + len(self.store.calls))
         item = Item(QUARANTINE_KEY, revision, write.value)
-        self.knowledge.take_items([item], now)
+        self.deployment.apply_items([item], now)
 
     def test_no_call_while_nothing_is_held(self):
-        self.writer.keep(TERM, 0.0)
+        self.writer.run_periodic(TERM, 0.0)
         self.assertEqual([], self.store.calls)
 
     def test_one_call_when_a_stay_begins_and_one_when_it_ends(self):
         self.hold()
-        self.writer.keep(TERM, 8.0)
+        self.writer.run_periodic(TERM, 8.0)
         self.read_back(8.0)
-        self.writer.keep(TERM, 20.0)
+        self.writer.run_periodic(TERM, 20.0)
         self.assertEqual(1, len(self.store.calls))
-        self.writer.keep(TERM, 400.0)
+        self.writer.run_periodic(TERM, 400.0)
         self.assertEqual(2, len(self.store.calls))
 
     def test_single_loss_is_written_and_its_clearance_later(self):
         # Guards against a call for each innocent request beside a loss.
-        quarantine = self.knowledge.quarantine
+        quarantine = self.deployment.quarantine
         quarantine.note_loss("u", ["f", "g"], 1.0, 1.0)
-        self.writer.keep(TERM, 1.0)
+        self.writer.run_periodic(TERM, 1.0)
         self.read_back(1.0)
         quarantine.note_end("f", 5.0)
-        self.writer.keep(TERM, 5.0)
+        self.writer.run_periodic(TERM, 5.0)
         self.assertEqual(1, len(self.store.calls))
         quarantine.note_end("g", 6.0)
-        self.writer.keep(TERM, 12.0)
+        self.writer.run_periodic(TERM, 12.0)
         self.assertEqual(2, len(self.store.calls))
         self.read_back(12.0)
-        self.assertEqual((), self.knowledge.recorded_quarantine.record.losses)
+        self.assertEqual((), self.deployment.recorded_quarantine.record.losses)
 
     def test_written_under_the_own_term_only(self):
         self.hold()
-        self.writer.keep(TERM, 8.0)
+        self.writer.run_periodic(TERM, 8.0)
         self.assertEqual(
             {LEADER_KEY: TERM, QUARANTINE_KEY: NO_POSITION},
             self.store.calls[0][0],
@@ -91,22 +91,22 @@
         self.hold()
         self.store.away = True
         for turn in range(30):
-            self.writer.keep(TERM, 8.0 + turn / 10)
+            self.writer.run_periodic(TERM, 8.0 + turn / 10)
         self.assertEqual(3, len(self.store.calls))
 
     def test_host_that_starts_reads_it(self):
         self.hold()
-        self.writer.keep(TERM, 8.0)
-        self.knowledge = Knowledge(PlatformCatalogue())
+        self.writer.run_periodic(TERM, 8.0)
+        self.deployment = DeploymentState(PlatformRegistry())
         self.read_back(50.0)
         self.assertGreater(
-            self.knowledge.quarantine.find_stay("f", 51.0), 290.0
+            self.deployment.quarantine.find_stay_left("f", 51.0), 290.0
         )
 
     def test_record_of_another_form_changes_nothing(self):
         self.hold()
         item = Item(QUARANTINE_KEY, Position(0, 11), b'{"stays": 7}')
-        self.knowledge.take_items([item], 9.0)
+        self.deployment.apply_items([item], 9.0)
         self.assertGreater(
-            self.knowledge.quarantine.find_stay("f", 9.0), 290.0
+            self.deployment.quarantine.find_stay_left("f", 9.0), 290.0
         )
--- a/tests/daemons/test_records.py
+++ b/tests/daemons/test_recordkeys.py
@@ -2,11 +2,11 @@
 
 import testtools
 
-from sedgetide.daemons._records import make_leader_key
-from sedgetide.daemons._records import make_quarantine_key
-from sedgetide.daemons._records import make_ranges_key
-from sedgetide.daemons._records import make_ranges_prefix
-from sedgetide.daemons._records import read_key
+from sedgetide.daemons._recordkeys import make_leader_key
+from sedgetide.daemons._recordkeys import make_quarantine_key
+from sedgetide.daemons._recordkeys import make_ranges_key
+from sedgetide.daemons._recordkeys import make_ranges_prefix
+from sedgetide.daemons._recordkeys import parse_key
 
 
 class TestRecords(testtools.TestCase):
@@ -14,11 +14,11 @@
 
     def test_keys_are_read_back(self):
         for era in (0, 1, 70000):
-            leader = read_key(make_leader_key(era))
+            leader = parse_key(make_leader_key(era))
             self.assertEqual((era, True), (leader.era, leader.is_leader))
-            quarantine = read_key(make_quarantine_key(era))
+            quarantine = parse_key(make_quarantine_key(era))
             self.assertTrue(quarantine.is_quarantine)
-            ranges = read_key(make_ranges_key(era, "a/b"))
+            ranges = parse_key(make_ranges_key(era, "a/b"))
             self.assertEqual((era, "a/b"), (ranges.era, ranges.service))
             self.assertIsNone(leader.service)
 
@@ -33,4 +33,4 @@
 
     def test_keys_of_others_are_none(self):
         for key in ("op/config", "leader", "sedgetide/eras/x/leader"):
-            self.assertIsNone(read_key(key))
+            self.assertIsNone(parse_key(key))
--- a/tests/daemons/test_recoverydesk.py
+++ b/tests/daemons/test_recoverycoordinator.py
@@ -10,12 +10,12 @@
 from sedgetide.core.ownership.ranges import ALL_KEYS
 from sedgetide.core.ownership.ranges import RangeTable
 from sedgetide.core.ownership.terms import Term
-from sedgetide.daemons._knowledge import Knowledge
-from sedgetide.daemons._orders import OrderResult
-from sedgetide.daemons._orders import Taken
-from sedgetide.daemons._recoverydesk import RecoveryDesk
+from sedgetide.daemons._deployment import DeploymentState
+from sedgetide.daemons._orderclient import OrderOutcome
+from sedgetide.daemons._orderclient import OrderResult
+from sedgetide.daemons._recoverycoordinator import RecoveryCoordinator
 from sedgetide.runtime.clock import read_clock
-from tests.daemons.test_campaign import FakeCatalogue
+from tests.daemons.test_election import FakeCatalogue
 
 SERVICE = "maps"
 FIRST = 1 << 32
@@ -26,7 +26,7 @@
 
     def __init__(self):
         self.reached = True
-        self.taken = Taken.DONE
+        self.taken = OrderOutcome.DONE
         self.released = []
 
     def reach(self):
@@ -34,7 +34,7 @@
 
     def release(self, keys, fence, may_leave):
         if not may_leave():
-            return OrderResult(Taken.UNSENT)
+            return OrderResult(OrderOutcome.UNSENT)
         self.released.append((keys, fence))
         return OrderResult(self.taken)
 
@@ -62,9 +62,9 @@
     def setUp(self):
         super().setUp()
         self.durations = Durations()
-        self.knowledge = Knowledge(FakeCatalogue())
+        self.deployment = DeploymentState(FakeCatalogue())
         self.table = RangeTable(5).assign_first([("u-1", 1), ("u-2", 1)])
-        self.knowledge.take_table(SERVICE, self.table, Position(0, 8), 1.0)
+        self.deployment.update_table(SERVICE, self.table, Position(0, 8), 1.0)
         self.lanes = Lanes(("u-1", "u-2", "u-3"))
         self.leadership = Leadership(self.durations)
 
@@ -72,7 +72,7 @@
         now = read_clock()
         self.leadership.begin(Position(era, 7), now, now - took_over)
         term = Term(self.leadership, self.durations)
-        self.desk = RecoveryDesk(term, self.knowledge, self.lanes)
+        self.desk = RecoveryCoordinator(term, self.deployment, self.lanes)
         self.addCleanup(self.desk.close)
         self.term = term
 
@@ -124,7 +124,7 @@
         self.assertIsNotNone(self.drive())
 
     def test_unanswered_release_is_none(self):
-        self.lanes.lanes["u-2"].taken = Taken.UNKNOWN
+        self.lanes.lanes["u-2"].taken = OrderOutcome.UNKNOWN
         self.begin()
         self.assertIsNone(self.drive(0.7))
         self.assertGreater(self.count_released()["u-2"], 1)
@@ -132,7 +132,7 @@
 
     def test_time_proves_what_nobody_answers(self):
         self.lanes.lanes["u-3"].reached = False
-        self.begin(took_over=self.durations.bound_unknown())
+        self.begin(took_over=self.durations.max_inherited_hold())
         self.assertIsNotNone(self.drive())
         self.assertEqual(0, sum(self.count_released().values()))
 
@@ -141,7 +141,7 @@
         self.lanes.lanes["u-3"].reached = False
         self.lanes.addresses["u-3"] = "1.1.1.3:1"
         entry = RegisteredUpstream("u-9", SERVICE, "1.1.1.3:1", "dc")
-        self.knowledge.directory.put(entry, now)
+        self.deployment.directory.put(entry, now)
         self.begin()
         self.assertIsNotNone(self.drive())
 
@@ -154,7 +154,7 @@
 
     def test_nobody_is_asked_before_the_registry_is_whole(self):
         # Guards against a young upstream that is missing in the copy.
-        self.knowledge.note_era(1, read_clock())
+        self.deployment.note_era(1, read_clock())
         self.begin()
         self.assertIsNone(self.drive(0.5))
         self.assertEqual(0, sum(self.count_released().values()))
--- a/tests/daemons/test_renewal.py
+++ b/tests/daemons/test_renewal.py
@@ -6,7 +6,7 @@
 import testtools
 
 from sedgetide.core.ownership.ranges import Tenure
-from sedgetide.daemons._orders import Taken
+from sedgetide.daemons._orderclient import OrderOutcome
 from sedgetide.daemons._renewal import renew_round
 
 TENURES = [Tenure(low, low, "u-1", 1) for low in range(10)]
@@ -29,7 +29,9 @@
         # there, the ranges behind it run out after a few rounds, and their
         # callers get refusals though owner and leader are well.
         def grant(tenure):
-            return Taken.UNKNOWN if tenure.low == 2 else Taken.DONE
+            return (
+                OrderOutcome.UNKNOWN if tenure.low == 2 else OrderOutcome.DONE
+            )
 
         taken = self.renew(grant)
         self.assertEqual(10, len(taken))
@@ -42,15 +44,15 @@
         def grant(tenure):
             gevent.sleep(0.2 if tenure.low == 0 else 0.0)
             ended.append(tenure.low)
-            return Taken.DONE
+            return OrderOutcome.DONE
 
         self.renew(grant)
         self.assertEqual(0, ended[-1])
 
     def test_upstream_out_of_reach_is_given_up(self):
-        taken = self.renew(lambda _: Taken.UNSENT)
+        taken = self.renew(lambda _: OrderOutcome.UNSENT)
         self.assertLess(len(taken), 4)
 
     def test_fenced_range_is_not_tried_again(self):
-        self.renew(lambda _: Taken.FENCED)
+        self.renew(lambda _: OrderOutcome.FENCED)
         self.assertEqual({1}, set(self.counts.values()))
--- a/tests/daemons/test_storetask.py
+++ b/tests/daemons/test_storetask.py
@@ -2,8 +2,8 @@
 
 import testtools
 
-from sedgetide.backends.store import Changes
 from sedgetide.backends.store import Store
+from sedgetide.backends.store import WatchResult
 from sedgetide.coding.values import decode_assignment
 from sedgetide.coding.values import encode_assignment
 from sedgetide.core.errors import ErrorCode
@@ -13,7 +13,7 @@
 from sedgetide.core.identifiers import ChangeId
 from sedgetide.core.identifiers import Revision
 from sedgetide.core.ownership.assignment import Assignment
-from sedgetide.daemons._storetask import StoreOwner
+from sedgetide.daemons._storetask import StoreListener
 from sedgetide.daemons._storetask import StoreTask
 from sedgetide.daemons._storetask import swap_assignment
 from sedgetide.testing.storemodel import StoreModel
@@ -58,26 +58,26 @@
 
     def watch(self, prefix, since, wait):
         changes = self.model.list_changes(prefix, since)
-        return Changes(self.model.revision, changes)
+        return WatchResult(self.model.revision, changes)
 
     def close(self):
         pass
 
 
-class FakeOwner(StoreOwner):
+class FakeOwner(StoreListener):
     def __init__(self):
         self.taken = []
 
     def is_watching(self):
         return True
 
-    def take_records(self, records):
+    def handle_records(self, records):
         self.taken.extend(record.key for record in records)
 
-    def take_proof(self, asked_at, revision, record):
+    def handle_proof(self, asked_at, revision, record):
         pass
 
-    def note_store_away(self, away):
+    def set_store_unavailable(self, away):
         pass
 
 
--- a/tests/daemons/test_follower.py
+++ b/tests/daemons/test_storewatcher.py
@@ -8,12 +8,12 @@
 from sedgetide.core.errors import ErrorCode
 from sedgetide.core.errors import HistoryLost
 from sedgetide.core.errors import Step
-from sedgetide.daemons._follower import choose_pause
-from sedgetide.daemons._follower import Follower
-from sedgetide.daemons._knowledge import Knowledge
+from sedgetide.daemons._deployment import DeploymentState
+from sedgetide.daemons._storewatcher import choose_pause
+from sedgetide.daemons._storewatcher import StoreWatcher
 from sedgetide.testing.leasestore import LeaseStoreModel
-from tests.daemons.test_campaign import FakeCatalogue
-from tests.daemons.test_campaign import ModelStore
+from tests.daemons.test_election import FakeCatalogue
+from tests.daemons.test_election import ModelStore
 
 
 class TestChoosePause(testtools.TestCase):
@@ -59,8 +59,10 @@
     def test_history_that_stays_lost_is_asked_for_at_intervals(self):
         # Guards against sixty whole listings a second, of each host.
         store = LosingStore(LeaseStoreModel())
-        knowledge = Knowledge(FakeCatalogue())
-        follower = Follower(store, "", knowledge, lambda: False, lambda: True)
+        deployment = DeploymentState(FakeCatalogue())
+        follower = StoreWatcher(
+            store, "", deployment, lambda: False, lambda: True
+        )
         with contextlib.ExitStack() as stack:
             follower.start(stack)
             gevent.sleep(0.6)
--- a/tests/daemons/test_trials.py
+++ b/tests/daemons/test_trials.py
@@ -15,7 +15,7 @@
 from sedgetide.core.requests.attempts import Failure
 from sedgetide.core.requests.places import Verdict
 from sedgetide.core.requests.quarantine import Quarantine
-from sedgetide.core.requests.routes import Timetable
+from sedgetide.core.requests.routes import RequestTimes
 from sedgetide.daemons._quarantine import SharedQuarantine
 from sedgetide.daemons._trials import Trials
 from sedgetide.runtime.clock import read_clock
@@ -28,7 +28,7 @@
     now = read_clock()
     return types.SimpleNamespace(
         fields=types.SimpleNamespace(request=RequestId("r")),
-        times=Timetable(now, now + seconds, now + seconds),
+        times=RequestTimes(now, now + seconds, now + seconds),
         service=ServiceName("maps"),
         find_fingerprint=lambda: DEADLY,
         note="",
--- a/tests/daemons/test_lanes.py
+++ b/tests/daemons/test_upstreamchannels.py
@@ -4,9 +4,9 @@
 import testtools
 
 from sedgetide.core.membership.directory import RegisteredUpstream
-from sedgetide.core.requests.idling import RestBound
+from sedgetide.core.requests.idleconnections import IdleLimit
 from sedgetide.core.requests.windows import UpstreamLoad
-from sedgetide.daemons._lanes import Lane
+from sedgetide.daemons._upstreamchannels import UpstreamChannel
 from sedgetide.runtime.clock import read_clock
 
 
@@ -16,7 +16,7 @@
     def setUp(self):
         super().setUp()
         upstream = RegisteredUpstream("u-1", "maps", "127.0.0.1:1", "dc", 2)
-        self.lane = Lane(upstream, 1000, RestBound())
+        self.lane = UpstreamChannel(upstream, 1000, IdleLimit())
         self.addCleanup(self.lane.close)
 
     def crowd(self):
--- a/tests/daemons/test_passages.py
+++ b/tests/daemons/test_upstreamselector.py
@@ -22,19 +22,19 @@
 from sedgetide.core.ownership.ranges import RangeTable
 from sedgetide.core.requests.attempts import Progress
 from sedgetide.core.requests.attempts import Target
+from sedgetide.core.requests.averages import AnswerAverages
 from sedgetide.core.requests.outcomes import Outcome
 from sedgetide.core.requests.ratelimits import StatedLimit
-from sedgetide.core.requests.returns import OUT_OF_TOUCH
-from sedgetide.core.requests.routes import Timetable
-from sedgetide.core.requests.usual import UsualFigures
-from sedgetide.daemons._job import Job
-from sedgetide.daemons._knowledge import ColdTerms
-from sedgetide.daemons._knowledge import Knowledge
-from sedgetide.daemons._lanes import Lanes
-from sedgetide.daemons._passages import Passages
+from sedgetide.core.requests.retryafter import STORE_SILENT_RETRY_DELAY
+from sedgetide.core.requests.routes import RequestTimes
+from sedgetide.daemons._deployment import ColdTolerance
+from sedgetide.daemons._deployment import DeploymentState
 from sedgetide.daemons._places import Place
 from sedgetide.daemons._places import PlaceRefused
-from sedgetide.platform._catalogue import PlatformCatalogue
+from sedgetide.daemons._requestcontext import RequestContext
+from sedgetide.daemons._upstreamchannels import UpstreamChannels
+from sedgetide.daemons._upstreamselector import UpstreamSelector
+from sedgetide.platform._registry import PlatformRegistry
 from sedgetide.runtime.clock import read_clock
 from sedgetide.wire.messages import Request
 
@@ -58,13 +58,13 @@
         2,
         (Share(SERVICE, 1.0),),
     )
-    return Job(
+    return RequestContext(
         Request("GET", "/", [], b""),
         CallerFields(RequestId("r"), TIMEOUT, Key(1)),
         route,
         SERVICE,
         keyed,
-        Timetable(now, now + TIMEOUT, now + OBJECTIVE),
+        RequestTimes(now, now + TIMEOUT, now + OBJECTIVE),
         Progress(**progress),
     )
 
@@ -81,13 +81,13 @@
     def setUp(self):
         super().setUp()
         self.places = Places()
-        knowledge = Knowledge(PlatformCatalogue())
-        knowledge.directory.put(UPSTREAM, read_clock())
-        self.passages = Passages(
-            knowledge,
-            Lanes(1000),
+        deployment = DeploymentState(PlatformRegistry())
+        deployment.directory.put(UPSTREAM, read_clock())
+        self.passages = UpstreamSelector(
+            deployment,
+            UpstreamChannels(1000),
             self.places,
-            UsualFigures(),
+            AnswerAverages(),
             "north",
             random.Random(1),
         )
@@ -134,33 +134,33 @@
 
     def setUp(self):
         super().setUp()
-        self.knowledge = Knowledge(
-            PlatformCatalogue(), cold_terms=ColdTerms(1.5, 8.0)
+        self.deployment = DeploymentState(
+            PlatformRegistry(), cold_terms=ColdTolerance(1.5, 8.0)
         )
         self.rule = ServiceRule(SERVICE, cold=3.0, cold_rate=4.2)
-        self.knowledge.policy = Policy(Version(1), (), {SERVICE: self.rule})
+        self.deployment.policy = Policy(Version(1), (), {SERVICE: self.rule})
         self.put("map-1", 2.0)
 
     def put(self, name, warmup):
         entry = msgspec.structs.replace(
             UPSTREAM, registered_name=UpstreamName(name), warmup=warmup
         )
-        self.knowledge.directory.put(entry, read_clock())
+        self.deployment.directory.put(entry, read_clock())
         return entry
 
     def find(self, answer, keyed=False):
         self.places = LentPlaces(answer)
-        passages = Passages(
-            self.knowledge,
-            Lanes(1000),
+        passages = UpstreamSelector(
+            self.deployment,
+            UpstreamChannels(1000),
             self.places,
-            UsualFigures(),
+            AnswerAverages(),
             "north",
             random.Random(1),
         )
         self.job = make_job(keyed)
         if keyed:
-            target = Target(self.knowledge.directory.list_all()[0], 1)
+            target = Target(self.deployment.directory.list_all()[0], 1)
             passages._find_target = lambda job, declined, now: target
         return passages.find(self.job)
 
@@ -199,7 +199,7 @@
 
     def test_service_without_a_bound(self):
         rule = msgspec.structs.replace(self.rule, cold_rate=None)
-        self.knowledge.policy = Policy(Version(1), (), {SERVICE: rule})
+        self.deployment.policy = Policy(Version(1), (), {SERVICE: rule})
         self.assertIsNotNone(self.find(None))
 
 
@@ -208,16 +208,18 @@
 
     def setUp(self):
         super().setUp()
-        self.knowledge = Knowledge(PlatformCatalogue())
-        self.knowledge.directory.put(UPSTREAM, read_clock())
-        self.knowledge.heard_at = read_clock()
+        self.deployment = DeploymentState(PlatformRegistry())
+        self.deployment.directory.put(UPSTREAM, read_clock())
+        self.deployment.heard_at = read_clock()
         table = RangeTable().assign_first([(UPSTREAM.name, 1)])
-        self.knowledge.take_table(SERVICE, table, Position(0, 1), read_clock())
-        self.passages = Passages(
-            self.knowledge,
-            Lanes(1000),
+        self.deployment.update_table(
+            SERVICE, table, Position(0, 1), read_clock()
+        )
+        self.passages = UpstreamSelector(
+            self.deployment,
+            UpstreamChannels(1000),
             LentPlaces(None),
-            UsualFigures(),
+            AnswerAverages(),
             "north",
             random.Random(1),
         )
@@ -232,18 +234,18 @@
             job = make_job(keyed)
             passage = self.passages.find(job)
             self.assertTrue(self.passages.may_send(job, passage))
-        self.knowledge.note_leaving(UPSTREAM.name)
+        self.deployment.note_leaving(UPSTREAM.name)
         self.assertFalse(self.passages.may_send(job, passage))
         self.assertFalse(self.passages.may_send(make_job(True), passage))
 
     def test_caller_hears_at_once_while_nobody_can_move_its_key(self):
         # Guards against callers held for an owner that can't come.
-        self.knowledge.note_leaving(UPSTREAM.name)
-        self.knowledge.heard_at = read_clock() - 4.0
+        self.deployment.note_leaving(UPSTREAM.name)
+        self.deployment.heard_at = read_clock() - 4.0
         job, began = make_job(True), read_clock()
         self.assertIsNone(self.passages.find(job))
         self.assertLess(read_clock() - began, 0.05)
-        self.assertEqual(OUT_OF_TOUCH, job.retry_after)
+        self.assertEqual(STORE_SILENT_RETRY_DELAY, job.retry_after)
         self.assertEqual("owner-gone", job.note)
 
 
@@ -254,12 +256,12 @@
         # Guards against what was let through before the word came.
         job = make_job(False)
         passage = self.passages.find(job)
-        self.knowledge.backoffs.note(UPSTREAM.name, 1.0, read_clock())
+        self.deployment.backoffs.note(UPSTREAM.name, 1.0, read_clock())
         self.assertFalse(self.passages.may_send(job, passage))
 
     def test_caller_hears_at_once_what_is_left(self):
         # Guards against callers held for an upstream that wants nothing.
-        self.knowledge.backoffs.note(UPSTREAM.name, 2.0, read_clock())
+        self.deployment.backoffs.note(UPSTREAM.name, 2.0, read_clock())
         for keyed in (True, False):
             job, began = make_job(keyed), read_clock()
             self.assertIsNone(self.passages.find(job))
@@ -271,8 +273,8 @@
         other = msgspec.structs.replace(
             UPSTREAM, registered_name=UpstreamName("map-2")
         )
-        self.knowledge.directory.put(other, read_clock())
-        self.knowledge.backoffs.note(UPSTREAM.name, 2.0, read_clock())
+        self.deployment.directory.put(other, read_clock())
+        self.deployment.backoffs.note(UPSTREAM.name, 2.0, read_clock())
         for _ in range(20):
             passage = self.passages.find(make_job(False))
             self.assertEqual(other, passage.target.upstream)
@@ -285,7 +287,7 @@
     def name_limit(self, rate):
         now = read_clock()
         said = StatedLimit(rate, now, now)
-        self.knowledge.limits.note(UPSTREAM.name, said)
+        self.deployment.limits.note(UPSTREAM.name, said)
 
     def test_request_that_waited_asks_again_for_the_limit(self):
         # Guards against what was let through by this host's own window.
@@ -317,7 +319,7 @@
         other = msgspec.structs.replace(
             UPSTREAM, registered_name=UpstreamName("map-2")
         )
-        self.knowledge.directory.put(other, read_clock())
+        self.deployment.directory.put(other, read_clock())
         for _ in range(20):
             passage = self.passages.find(make_job(False))
             self.assertEqual(other, passage.target.upstream)
--- a/tests/daemons/test_upstreamtask.py
+++ b/tests/daemons/test_upstreamtask.py
@@ -9,8 +9,8 @@
 
 from sedgetide.backends._connection import HttpAnswer
 from sedgetide.backends.upstream import UpstreamClient
+from sedgetide.backends.upstream import UpstreamResult
 from sedgetide.backends.upstream import UpstreamStatus
-from sedgetide.backends.upstream import WorkResult
 from sedgetide.coding.messages import Request
 from sedgetide.coding.settings import KeeperSettings
 from sedgetide.core.configuration.services import Service
@@ -120,7 +120,7 @@
         return result
 
     def answer(self, index, headers=(), declined=""):
-        result = WorkResult(HttpAnswer(200, list(headers), b"x"), declined)
+        result = UpstreamResult(HttpAnswer(200, list(headers), b"x"), declined)
         self.client.runs[index][2].set(result)
 
     def break_off(self, index, code=ErrorCode.BAD_ANSWER, sent=True):
--- a/tests/platform/test_foreign_entries.py
+++ b/tests/platform/test_foreign_entries.py
@@ -15,8 +15,8 @@
 from sedgetide.core.history import Position
 from sedgetide.core.membership.directory import RegisteredUpstream
 from sedgetide.core.membership.evacuations import Evacuations
-from sedgetide.daemons._knowledge import Knowledge
-from sedgetide.platform._catalogue import PlatformCatalogue
+from sedgetide.daemons._deployment import DeploymentState
+from sedgetide.platform._registry import PlatformRegistry
 
 KEY = "servers/i-1"
 GOOD = {
@@ -82,7 +82,7 @@
     def read(self, value):
         """Return what the catalogue makes of bytes; None when refused."""
         try:
-            return PlatformCatalogue().read(KEY, value)
+            return PlatformRegistry().read(KEY, value)
         except UnreadableEntry as error:
             self.assertEqual("i-1", error.upstream)
             return None
@@ -95,14 +95,14 @@
             self.assertGreaterEqual(entry.born, 0)
             self.assertTrue(entry.service)
             split_address(entry.address)
-        knowledge = Knowledge(PlatformCatalogue())
-        knowledge.take_items(
+        deployment = DeploymentState(PlatformRegistry())
+        deployment.apply_items(
             [Item(KEY, Position(0, 1), msgspec.json.encode(GOOD))], 1.0
         )
-        knowledge.take_items([Item(KEY, Position(0, 2), value)], 2.0)
+        deployment.apply_items([Item(KEY, Position(0, 2), value)], 2.0)
         if entry is None:
-            self.assertEqual([], knowledge.directory.list_active("maps"))
-            self.assertEqual(1, len(knowledge.directory.list_all()))
+            self.assertEqual([], deployment.directory.list_active("maps"))
+            self.assertEqual(1, len(deployment.directory.list_all()))
 
     @settings(max_examples=300, derandomize=True, deadline=None)
     @given(strategies.sampled_from(FIELDS), VALUES)
@@ -132,13 +132,13 @@
         strategies.one_of(strategies.none(), strategies.binary(max_size=20)),
     )
     def test_any_wish_is_taken(self, name, value):
-        knowledge = Knowledge(PlatformCatalogue())
+        deployment = DeploymentState(PlatformRegistry())
         key = "op/evacuate/" + name
-        knowledge.take_items([Item(key, Position(0, 5), value)], 1.0)
-        evacuations = knowledge.directory.evacuations
-        self.assertEqual(value is not None, evacuations.is_asked(name))
-        knowledge.take_items([Item(key, Position(0, 6), None)], 2.0)
-        self.assertEqual([], evacuations.list_asked())
+        deployment.apply_items([Item(key, Position(0, 5), value)], 1.0)
+        evacuations = deployment.directory.evacuations
+        self.assertEqual(value is not None, evacuations.is_evacuating(name))
+        deployment.apply_items([Item(key, Position(0, 6), None)], 2.0)
+        self.assertEqual([], evacuations.list_evacuating())
 
     def test_host_that_starts_knows_before_it_sends(self):
         """All hosts are lost while a data centre is evacuated.
@@ -147,29 +147,33 @@
         request sent there before the wish is read would reach it long after
         it has to be empty.
         """
-        knowledge = Knowledge(PlatformCatalogue(), Evacuations(5.0))
+        deployment = DeploymentState(PlatformRegistry(), Evacuations(5.0))
         items = [
             Item("op/evacuate/z", Position(0, 5), b"{}"),
             Item(KEY, Position(0, 4), msgspec.json.encode(GOOD)),
         ]
-        knowledge.take_listing(Listing(items, Position(0, 6)), 100.0)
-        name = knowledge.directory.list_all()[0].name
-        self.assertIsNone(knowledge.directory.find_serving(name, 100.0))
+        deployment.apply_listing(Listing(items, Position(0, 6)), 100.0)
+        name = deployment.directory.list_all()[0].name
+        self.assertIsNone(deployment.directory.find_serving(name, 100.0))
 
     def test_wish_that_ends_while_history_is_lost(self):
-        knowledge = Knowledge(PlatformCatalogue(), Evacuations(5.0))
-        knowledge.take_items(
+        deployment = DeploymentState(PlatformRegistry(), Evacuations(5.0))
+        deployment.apply_items(
             [Item("op/evacuate/z", Position(0, 5), b"{}")], 1.0
         )
-        knowledge.take_listing(Listing([], Position(0, 9)), 4.0)
-        self.assertEqual([], knowledge.directory.evacuations.list_asked())
+        deployment.apply_listing(Listing([], Position(0, 9)), 4.0)
+        self.assertEqual(
+            [], deployment.directory.evacuations.list_evacuating()
+        )
 
     def test_older_wish_changes_nothing(self):
-        knowledge = Knowledge(PlatformCatalogue(), Evacuations(5.0))
-        knowledge.take_items(
+        deployment = DeploymentState(PlatformRegistry(), Evacuations(5.0))
+        deployment.apply_items(
             [Item("op/evacuate/z", Position(0, 7), None)], 1.0
         )
-        knowledge.take_items(
+        deployment.apply_items(
             [Item("op/evacuate/z", Position(0, 5), b"{}")], 2.0
         )
-        self.assertEqual([], knowledge.directory.evacuations.list_asked())
+        self.assertEqual(
+            [], deployment.directory.evacuations.list_evacuating()
+        )
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -5,7 +5,7 @@
 import msgspec
 import testtools
 
-from sedgetide.backends.eras import EraWatch
+from sedgetide.backends.eras import EraTracker
 from sedgetide.backends.leasestore import Write
 from sedgetide.core.errors import ErrorCode
 from sedgetide.core.errors import HistoryLost
@@ -22,7 +22,7 @@
     """Gets the answers of a script instead of calling anyone."""
 
     def __init__(self):
-        self.eras = EraWatch()
+        self.eras = EraTracker()
         super().__init__("1.1.1.1:1", 1.0, self.eras)
         self.answers = collections.deque()
         self.requests = []
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -11,15 +11,15 @@
 
 from sedgetide.backends.dialects import CallerFields
 from sedgetide.backends.dialects import UnreadableEntry
-from sedgetide.backends.dialects import Withdrawn
+from sedgetide.backends.dialects import UpstreamWithdrawn
 from sedgetide.core.errors import InputError
 from sedgetide.core.history import FIRST_ERA
 from sedgetide.core.ownership.ranges import KeyRange
 from sedgetide.core.requests.attempts import Failure
 from sedgetide.core.requests.pushback import Pushback
 from sedgetide.core.requests.windows import UpstreamLoad
-from sedgetide.platform._catalogue import PlatformCatalogue
 from sedgetide.platform._orders import PlatformOrders
+from sedgetide.platform._registry import PlatformRegistry
 from sedgetide.platform._requests import PlatformRequests
 from sedgetide.platform._store import _Page
 
@@ -111,29 +111,31 @@
             headers,
         )
 
-    def judge(self, status, *headers):
-        return self.dialect.judge(status, headers)
+    def classify_answer(self, status, *headers):
+        return self.dialect.classify_answer(status, headers)
 
     def test_success_needs_the_signature(self):
         # Bytes that merely look like a success would reach the caller as
         # its tile, though no upstream made it.
         signed = ("Sedgetide-Response-Signature", "3e1b")
-        self.assertIs(Failure.NONE, self.judge(200, signed))
-        self.assertIs(Failure.BROKEN, self.judge(200))
+        self.assertIs(Failure.NONE, self.classify_answer(200, signed))
+        self.assertIs(Failure.BROKEN, self.classify_answer(200))
         encoded = ("Content-Encoding", "gzip")
-        self.assertIs(Failure.BROKEN, self.judge(200, signed, encoded))
+        self.assertIs(
+            Failure.BROKEN, self.classify_answer(200, signed, encoded)
+        )
 
     def test_only_the_marker_says_not_run(self):
         marker = ("Sedgetide-Not-Executed", "1")
-        self.assertIs(Failure.BUSY, self.judge(503, marker))
-        self.assertIs(Failure.DECLINED, self.judge(429, marker))
-        self.assertIs(Failure.NOT_OWNER, self.judge(421))
-        self.assertIs(Failure.FAILED, self.judge(503))
-        self.assertIs(Failure.FAILED, self.judge(504))
+        self.assertIs(Failure.BUSY, self.classify_answer(503, marker))
+        self.assertIs(Failure.DECLINED, self.classify_answer(429, marker))
+        self.assertIs(Failure.NOT_OWNER, self.classify_answer(421))
+        self.assertIs(Failure.FAILED, self.classify_answer(503))
+        self.assertIs(Failure.FAILED, self.classify_answer(504))
         self.assertFalse(self.dialect.is_not_run(503, []))
 
     def test_own_refusals_of_the_upstream_pass(self):
-        self.assertIs(Failure.NONE, self.judge(404))
+        self.assertIs(Failure.NONE, self.classify_answer(404))
 
     def test_load(self):
         self.assertEqual(UpstreamLoad(3, 0, 8), self.read_load("3,0,8"))
@@ -277,7 +279,7 @@
 
     def setUp(self):
         super().setUp()
-        self.catalogue = PlatformCatalogue()
+        self.catalogue = PlatformRegistry()
 
     def test_entry(self):
         entry = self.catalogue.read(
@@ -406,7 +408,7 @@
 
     def test_entry_gone(self):
         gone = self.catalogue.read("servers/i-7f3a", None)
-        self.assertEqual(Withdrawn("i-7f3a"), gone)
+        self.assertEqual(UpstreamWithdrawn("i-7f3a"), gone)
 
     def test_configuration_with_fractions(self):
         # Bounds that follow a deployment's size need not be whole; a policy
--- a/tests/testing/test_ownershipworld.py
+++ b/tests/testing/test_ownershipworld.py
@@ -6,9 +6,9 @@
 
 from sedgetide.core.ownership.holds import HoldLedger
 from sedgetide.core.ownership.leadership import Leadership
+from sedgetide.core.ownership.move_observations import MoveObservations
 from sedgetide.core.ownership.ranges import RangeTable
 from sedgetide.core.ownership.recovery import Recovery
-from sedgetide.core.ownership.sightings import MoveSightings
 from sedgetide.core.ownership.terms import Term
 from sedgetide.testing import ownershipworld
 from sedgetide.testing.ownershipworld import OwnershipWorld
@@ -95,7 +95,7 @@
                 for tenure in table.list_moving()
             }
 
-        self.check_found(MoveSightings, "note_table", note)
+        self.check_found(MoveObservations, "note_table", note)
 
     def test_fence_not_raised_by_a_move(self):
         real = RangeTable.begin
--- a/tests/wire/test_client.py
+++ b/tests/wire/test_client.py
@@ -84,7 +84,7 @@
             **options,
         )
         self.assertTrue(error.sent)
-        self.assertFalse(connection.open_now)
+        self.assertFalse(connection.is_open)
         return error
 
     def test_whole_answer_leaves_the_connection_open(self):
@@ -114,7 +114,7 @@
         )
         answer = connection.exchange(make_request(), 2.0)
         self.assertEqual(b"all of it", answer.body)
-        self.assertFalse(connection.open_now)
+        self.assertFalse(connection.is_open)
 
     def test_bytes_that_are_no_answer(self):
         _, connection = self.serve(b"\x00\x01 nonsense\r\n\r\n")
@@ -125,7 +125,7 @@
         # be read as the answer to the next caller's request.
         _, connection = self.serve(WHOLE + WHOLE)
         connection.exchange(make_request(), 2.0)
-        self.assertFalse(connection.open_now)
+        self.assertFalse(connection.is_open)
 
     def test_late_second_answer_makes_it_unusable(self):
         server, connection = self.serve(WHOLE)
@@ -234,7 +234,7 @@
         self.assertIsNot(first, second)
         pool.give_back(second)
         pool.close()
-        self.assertFalse(second.open_now)
+        self.assertFalse(second.is_open)
 
     def test_rested_connection_is_left_to_those_who_may_repeat(self):
         server = Server(WHOLE, WHOLE)
@@ -261,4 +261,4 @@
         pool.give_back(connection)
         gevent.sleep(0.05)
         pool.prune()
-        self.assertFalse(connection.open_now)
+        self.assertFalse(connection.is_open)
--- a/tests/wire/test_server.py
+++ b/tests/wire/test_server.py
@@ -9,7 +9,7 @@
 import testtools
 
 from sedgetide.core.configuration.policy import CallerLimits
-from sedgetide.core.requests.bodies import BodyAllowance
+from sedgetide.core.requests.bodylimits import BodyBudget
 from sedgetide.runtime.sockets import open_listener
 from sedgetide.wire.messages import Answer
 from sedgetide.wire.server import Server
@@ -67,7 +67,7 @@
         # Four callers upload at the same time to a host that can hold two
         # bodies. Without the bound a few dozen end the process for lack of
         # memory, and with it everything that it has in hand.
-        self.server.bodies = BodyAllowance(2000)
+        self.server.bodies = BodyBudget(2000)
         gate = self.hold("/slow")
         upload = b"POST /slow HTTP/1.1\r\nHost: h\r\nContent-Length: 900\r\n"
         upload += b"\r\n" + b"x" * 900
