--- a/sedgetide/core/__init__.py
+++ b/sedgetide/core/__init__.py
@@ -1,5 +1,5 @@
-"""Decisions of the router: pure functions and aggregates, no I/O.
+"""Domain logic of the router: pure functions and aggregates without I/O.
 
-Every function that depends on the present time takes it as ``now``, in
-seconds of the caller's monotonic clock.
+Functions that depend on the current time take it as ``now``, in seconds of
+the local monotonic clock.
 """
--- a/sedgetide/core/configuration/__init__.py
+++ b/sedgetide/core/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""What the operators ask for, in the product's own terms."""
+"""Data model of the operators' configuration."""
--- a/sedgetide/core/configuration/policy.py
+++ b/sedgetide/core/configuration/policy.py
@@ -1,8 +1,9 @@
-"""One version of the operators' routes and services, checked.
+"""One validated version of the operators' routes and services.
 
-The service text of a deployment without a registry lists its upstreams;
-here they register themselves, and the operators say only where requests
-go and how.
+This is the model for deployments with a registry, at which upstreams register
+themselves; the operators configure only how requests are routed. Without a
+registry, the text of :mod:`sedgetide.core.configuration.services` also lists
+the upstreams.
 """
 
 import msgspec
@@ -13,33 +14,33 @@
 
 
 class Share(msgspec.Struct, frozen=True):
-    """Part of a route's requests that goes to one service."""
+    """Weighted share of the requests of a route that goes to a service."""
 
     service: ServiceName
     weight: float
 
 
 class RouteRule(msgspec.Struct, frozen=True):
-    """Rules of a route.
+    """Configuration of a route.
 
     Parameters
     ----------
     name : RouteName
-        Name, for logs.
+        Name used in logs.
     host, prefix : str
-        Host header without port, and the path prefix.
+        Host header without port, and path prefix, to match.
     idempotent : bool
         Whether a request may run more than once.
     timeout : float
-        Seconds after which a caller gets its final answer.
+        Seconds after which the caller gets a final answer at the latest.
     objective : float
-        Seconds within which an answer is worth most.
+        Target response time in seconds.
     attempts : int
-        Upstreams to which one request may be sent.
+        Maximum number of upstreams to which one request is sent.
     priority : int
-        Rank; 0 goes first.
+        Priority; lower is more urgent.
     shares : tuple of Share
-        Services and weights; one at least.
+        Services and their weights; at least one.
     """
 
     name: RouteName
@@ -54,23 +55,23 @@
 
 
 class ServiceRule(msgspec.Struct, frozen=True):
-    """Rules of a service.
+    """Configuration of a service.
 
     Parameters
     ----------
     name : ServiceName
-        Name.
+        Name of the service.
     connections : int
         Connections that one upstream accepts from all hosts together.
     keyed : bool
         Whether each key has one owning upstream.
     warming : float
-        Seconds for which keys are slow that came without their state.
+        Seconds for which keys that were moved without their state are slow.
     cold : float
-        Seconds for which an upstream is cold after its start.
+        Seconds after its start for which an upstream is cold.
     cold_rate : float or None
-        Requests a second that a cold upstream is made for; None when it
-        bears as many as any other.
+        Requests per second for which a cold upstream is designed; None if
+        it can handle as many as a warm one.
     """
 
     name: ServiceName
@@ -82,7 +83,7 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
-    """Bounds of what a caller may send, in bytes and seconds."""
+    """Limits for the requests of callers, in bytes and seconds."""
 
     header_bytes: int = 32 * 1024
     body_bytes: int = 16 * 1024 * 1024
@@ -91,7 +92,7 @@
 
 
 class Policy(msgspec.Struct, frozen=True):
-    """One version of all that the operators ask for."""
+    """One version of the operators' complete configuration."""
 
     version: Version
     routes: tuple[RouteRule, ...]
--- a/sedgetide/core/configuration/records.py
+++ b/sedgetide/core/configuration/records.py
@@ -1,4 +1,4 @@
-"""Cache of the store's records that never goes back to a lower revision."""
+"""Cache of store records whose revisions never decrease."""
 
 from collections.abc import Iterable
 
@@ -13,7 +13,7 @@
 
 
 def build_assignment_key(data_centre: str) -> str:
-    """Return the store's key of a data centre's assignment."""
+    """Return the store key of the assignment of a data centre."""
     return ASSIGNMENT_PREFIX + data_centre
 
 
@@ -28,8 +28,8 @@
 class RecordCache:
     """Newest known version of each record.
 
-    Invariant: the revision of a key never falls, whatever the order in
-    which versions arrive.
+    The revision of a key never decreases, regardless of the order in which
+    versions arrive.
     """
 
     def __init__(self) -> None:
@@ -38,14 +38,15 @@
 
     @property
     def digest(self) -> int:
-        """Fingerprint of all keys with their revisions."""
+        """Hash of all keys and their revisions."""
         return self._digest
 
     def apply(self, record: Record) -> bool:
-        """Take in a version; return whether it was newer.
+        """Store a version; return whether it was newer.
 
-        An older version arrives whenever two ways of spreading overtake
-        each other. Taking it would put a withdrawn configuration in force.
+        Records arrive over several paths, so an older version may arrive
+        after a newer one. Applying it would restore a withdrawn
+        configuration.
         """
         held = self._records.get(record.key)
         if held is not None and held.revision >= record.revision:
@@ -61,7 +62,7 @@
         return self._records.get(key)
 
     def find_revision(self, key: str) -> Revision:
-        """Return the newest known revision of a key, zero when none."""
+        """Return the newest known revision of a key, or zero."""
         record = self._records.get(key)
         return NO_REVISION if record is None else record.revision
 
@@ -70,7 +71,7 @@
         return {key: record.revision for key, record in self._records.items()}
 
     def list_newer(self, known: dict[str, Revision]) -> Iterable[Record]:
-        """Return the records that a peer with ``known`` revisions lacks."""
+        """Return the records that are newer than a peer's ``known`` ones."""
         return [
             record
             for key, record in self._records.items()
--- a/sedgetide/core/configuration/services.py
+++ b/sedgetide/core/configuration/services.py
@@ -1,4 +1,4 @@
-"""The operators' text as a model: services, routes, upstreams, classes."""
+"""Model of the configuration text: services, routes, upstreams, classes."""
 
 import enum
 from typing import Annotated
@@ -19,14 +19,14 @@
 
 
 class UpstreamState(enum.Enum):
-    """What the operators want of an upstream.
+    """State of an upstream as requested by the operators.
 
     Attributes
     ----------
     ACTIVE
-        May own shards and take requests.
+        May own shards and receive requests.
     DRAINING
-        Gives up its shards and gets nothing new.
+        Releases its shards and receives no new requests.
     """
 
     ACTIVE = "active"
@@ -34,28 +34,28 @@
 
 
 class PriorityClass(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A class of requests; a lower priority number goes first."""
+    """Priority class of requests; lower numbers are more urgent."""
 
     name: Name
     priority: Annotated[int, msgspec.Meta(ge=0, le=99)]
 
 
 class Route(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Rules for requests by method and path prefix.
+    """Configuration of requests by method and path prefix.
 
     Parameters
     ----------
     path : str
-        Prefix below the service's own; ``{key}`` stands for the segment
-        that holds the key.
+        Path prefix below the prefix of the service; ``{key}`` matches the
+        segment that contains the key.
     methods : tuple of str
-        Methods the rule covers.
+        HTTP methods to which the route applies.
     priority_class : str
-        Name of a class, ``class`` in the text.
+        Name of the priority class, ``class`` in the text.
     idempotent : bool
-        Whether a request may run twice; false when unsaid.
+        Whether a request may run more than once.
     deadline : float
-        Seconds within which a caller needs the answer.
+        Seconds within which the caller needs an answer.
     """
 
     path: Path
@@ -75,14 +75,14 @@
 
 
 class Pin(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Operators' choice of the owner of one shard."""
+    """Owner of a shard as chosen by the operators."""
 
     shard: Annotated[int, msgspec.Meta(ge=0)]
     upstream: Name
 
 
 class Weights(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How much a service minds each harm; only the ratio counts."""
+    """Relative costs for the assignment of shards; only the ratio counts."""
 
     churn: Weight = 1.0
     unavailable: Weight = 1.0
@@ -94,22 +94,23 @@
     Parameters
     ----------
     name, prefix : str
-        Name, and the path prefix of its requests.
+        Name of the service, and path prefix of its requests.
     keyed : bool
         Whether each key has one owning upstream.
     slots, connections : int
-        Limits of each upstream.
+        Concurrent requests and connections that each upstream accepts.
     shards : int
-        Number of shards of a keyed service, fixed for its life.
+        Number of shards of a keyed service; it cannot be changed.
     homes : tuple of str
-        Data centres among which the shards are divided, fixed likewise.
+        Data centres among which the shards are divided; they cannot be
+        changed.
     checks_orders : bool
         Whether upstreams refuse grants and requests of a stale epoch or
         sender.
     depends_on : tuple of str
-        Services without which this one can not answer.
+        Services that this one needs in order to answer.
     pins : tuple of Pin
-        Owners chosen by the operators, obeyed while they are active.
+        Owners chosen by the operators, which apply while they are active.
     """
 
     name: Name
@@ -132,7 +133,7 @@
 
 
 class Text(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole of what operators write."""
+    """The complete configuration text."""
 
     name: Name
     data_centres: tuple[Name, ...]
@@ -140,7 +141,7 @@
     services: tuple[Service, ...]
 
     def find_service(self, name: str) -> Service | None:
-        """Return a service by name."""
+        """Return a service by name, or None."""
         for service in self.services:
             if service.name == name:
                 return service
--- a/sedgetide/core/constraints.py
+++ b/sedgetide/core/constraints.py
@@ -1,4 +1,4 @@
-"""Constrained field types of settings and of the operators' text."""
+"""Constrained field types of settings and of the configuration text."""
 
 from typing import Annotated
 
@@ -9,9 +9,10 @@
 ]
 PositiveInt = Annotated[int, msgspec.Meta(ge=1)]
 PositiveFloat = Annotated[float, msgspec.Meta(gt=0)]
-# What a deployment may set to nothing at all: a share, a number of retries.
+# For values that may be zero, such as a share or a number of retries.
 NonNegativeFloat = Annotated[float, msgspec.Meta(ge=0)]
-# Milliseconds; a grant is renewed thrice in its life, and each renewal may
-# take 0.6 s to arrive, so that a shorter life would end between two of them.
+# Milliseconds. A grant is renewed three times during its lifetime and each
+# renewal may take 0.6 s to arrive, so a grant with a shorter lifetime would
+# expire between two renewals.
 HoldMilliseconds = Annotated[float, msgspec.Meta(ge=1000)]
 Seconds = Annotated[float, msgspec.Meta(gt=0)]
--- a/sedgetide/core/errors.py
+++ b/sedgetide/core/errors.py
@@ -1,10 +1,10 @@
-"""Errors of the project: a code, the step and the peer they arose at."""
+"""Exceptions of the project, with an error code, step and peer."""
 
 import enum
 
 
 class ErrorCode(enum.Enum):
-    """Reason of a failure, stable across versions."""
+    """Reason of a failure; values are stable across versions."""
 
     BAD_SETTINGS = "bad-settings"
     BAD_TEXT = "bad-text"
@@ -22,7 +22,7 @@
 
 
 class Step(enum.Enum):
-    """Step of the work at which an error arose."""
+    """Processing step at which an error occurred."""
 
     START = "start"
     CHECK = "check"
@@ -36,18 +36,18 @@
 
 
 class SedgetideError(Exception):
-    """Base of all errors raised by the project.
+    """Base class of all errors raised by the project.
 
     Parameters
     ----------
     code : ErrorCode
-        Reason, for programs.
+        Machine-readable reason.
     step : Step
-        Step at which the error arose.
+        Step at which the error occurred.
     peer : str
-        Address or name of the other side; empty when there is none.
+        Address or name of the peer; empty when there is none.
     detail : str
-        Reason, for people.
+        Human-readable reason.
     """
 
     def __init__(
@@ -61,20 +61,20 @@
 
 
 class InputError(SedgetideError):
-    """Settings or operators' text that fail their check."""
+    """Settings or configuration text that fail validation."""
 
 
 class StoreError(SedgetideError):
-    """A call to the platform's store that gave no usable answer."""
+    """A call to the platform's store that failed."""
 
 
 class StoreConflict(StoreError):
-    """A compare-and-swap that found another revision.
+    """A compare-and-swap that found a different revision.
 
     Parameters
     ----------
     expected, found : int
-        Revision the change started from, and the one in the store.
+        Revision on which the change was based, and the one in the store.
     """
 
     def __init__(
@@ -84,28 +84,28 @@
             ErrorCode.STORE_CONFLICT,
             step,
             peer,
-            f"change started from revision {expected}, "
-            f"the store holds revision {found}",
+            f"change is based on revision {expected}, "
+            f"the store has revision {found}",
         )
         self.expected = expected
         self.found = found
 
 
 class HistoryLost(StoreError):
-    """A watch whose beginning the store no longer remembers."""
+    """A watch that starts before the retained history of the store."""
 
 
 class LeaseEnded(StoreError):
-    """A write or renewal under a lease that the store does not know."""
+    """A write or renewal with a lease that the store does not know."""
 
 
 class UpstreamError(SedgetideError):
-    """A call to an upstream that gave no whole answer.
+    """A call to an upstream that returned no complete answer.
 
     Parameters
     ----------
     sent : bool
-        Whether any byte of the request was handed to the socket.
+        Whether any byte of the request was passed to the socket.
     """
 
     def __init__(
@@ -116,11 +116,11 @@
 
 
 class LinkError(SedgetideError):
-    """A message between own processes that could not be handed over."""
+    """A message to another process of the router that was not delivered."""
 
 
 class RuleError(SedgetideError):
-    """A command that an aggregate refuses because of its rules."""
+    """A command that would violate an invariant of an aggregate."""
 
     def __init__(self, step: Step, detail: str) -> None:
         super().__init__(ErrorCode.RULE_BROKEN, step, "", detail)
--- a/sedgetide/core/history.py
+++ b/sedgetide/core/history.py
@@ -1,8 +1,8 @@
-"""Where in the history of the platform's store a version stands.
+"""Positions in the history of the platform's store.
 
-The store may come back from an older copy. Its revisions go back then and
-are given out again, so that a revision alone names two states. Each such
-return begins another era, which is counted up.
+The store may be restored from an older backup. Its revisions then go back and
+are assigned again, so that a revision alone may identify two states. Each
+restore starts a new era, which is a counter.
 """
 
 from typing import NewType
@@ -14,19 +14,19 @@
 
 Era = NewType("Era", int)
 
-# Of a store that names none.
+# Era of a store that does not report one.
 FIRST_ERA = Era(0)
 
 
 class Position(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """A point in the store's history; a later one is greater.
+    """Position in the history of the store; later positions are greater.
 
     Parameters
     ----------
     era : Era
-        How often the store has come back from a copy.
+        Number of times that the store has been restored from a backup.
     revision : Revision
-        Counted within the era, from where its copy was taken.
+        Revision within the era, counted on from that of the backup.
     """
 
     era: Era = FIRST_ERA
--- a/sedgetide/core/identifiers.py
+++ b/sedgetide/core/identifiers.py
@@ -1,10 +1,10 @@
-"""Typed identifiers shared by every layer."""
+"""Typed identifiers shared by all layers."""
 
 from typing import NewType
 
 ServiceName = NewType("ServiceName", str)
 UpstreamName = NewType("UpstreamName", str)
-# One start of an upstream's process; see core/membership/incarnations.py.
+# One run of an upstream's process; see core/membership/incarnations.py.
 IncarnationName = NewType("IncarnationName", str)
 StartTime = NewType("StartTime", int)
 DataCentre = NewType("DataCentre", str)
@@ -20,11 +20,12 @@
 NO_EPOCH = Epoch(0)
 NO_REVISION = Revision(0)
 
-# Ordered keys of services whose upstreams hold ranges.
+# Ordered keys of services whose upstreams own key ranges, and the fencing
+# token under which a range is owned.
 Key = NewType("Key", int)
 Fence = NewType("Fence", int)
 RouteName = NewType("RouteName", str)
-# What a request asks for and who asks; see core/requests/fingerprints.py.
+# Hash of a request's contents; see core/requests/fingerprints.py.
 Fingerprint = NewType("Fingerprint", str)
 Version = NewType("Version", int)
 
