--- a/sedgetide/core/requests/__init__.py
+++ b/sedgetide/core/requests/__init__.py
@@ -1,1 +1,1 @@
-"""What becomes of one request: route, target, attempts, outcome."""
+"""Handling of one request: route, target, attempts and outcome."""
--- a/sedgetide/core/requests/attempts.py
+++ b/sedgetide/core/requests/attempts.py
@@ -1,4 +1,4 @@
-"""Where a request goes next, or why it goes nowhere: one pure decision."""
+"""Choice of the target of a request's next attempt, and of retries."""
 
 from collections.abc import Collection
 import enum
@@ -16,16 +16,17 @@
 from sedgetide.core.requests.outcomes import Outcome
 from sedgetide.core.requests.routes import RequestTimes
 
-# Share of a request's time; with less, a second run ends after it has left in
-# most cases and takes a slot from one that would not.
-_LEAST_LEFT = 0.25
-# The owner of a key is the only one that may run its requests, so one that
-# refused is asked once more whatever the route allows.
-_LEAST_SENDS = 2
+# Share of a request's total time that must be left for a retry. With less,
+# the caller has usually given up before the retry ends, and the retry takes a
+# slot from a request that would still be answered in time.
+_MIN_REMAINING_SHARE = 0.25
+# Only the owner of a key may run its requests, so an owner that refused is
+# tried once more even if the route allows a single attempt.
+_MIN_SENDS = 2
 
 
 class Wait(enum.Enum):
-    """Why a request can not be sent just now."""
+    """Why a request cannot be sent at the moment."""
 
     NO_OWNER = "no-owner"
     MOVING = "moving"
@@ -35,7 +36,7 @@
 
 
 class Failure(enum.Enum):
-    """Why an attempt gave no answer to pass on."""
+    """Why an attempt yielded no answer to pass on."""
 
     NONE = "none"
     BUSY = "busy"
@@ -48,7 +49,7 @@
     SILENT = "silent"
 
 
-# These left the upstream's own word that nothing ran, or no byte had left.
+# The upstream confirmed that nothing ran, or no byte had been sent.
 NOT_RUN_FAILURES = frozenset(
     {
         Failure.BUSY,
@@ -59,23 +60,25 @@
     }
 )
 
-# The upstream said nothing at all.
+# The upstream sent no response at all.
 NO_RESPONSE_FAILURES = frozenset({Failure.UNREACHABLE, Failure.SILENT})
 
-# These tell of the upstream itself; a full one, or one out of reach, is not
-# slow, and would lose its keys for what it was asked too much.
+# Failures that indicate a fault of the upstream itself. An overloaded or
+# unreachable upstream is not counted as faulty: it would lose its keys only
+# because it was sent too much.
 UPSTREAM_FAULTS = frozenset({Failure.FAILED, Failure.SILENT, Failure.FOREIGN})
 
 
 class Target(msgspec.Struct, frozen=True):
-    """An upstream that a request may be sent to now.
+    """An upstream to which a request may be sent now.
 
     Parameters
     ----------
     upstream : RegisteredUpstream
-        Where.
+        Upstream to send to.
     fence : int
-        Fence under which it owns the key; zero without keys.
+        Fencing token under which it owns the key; zero for services without
+        keys.
     """
 
     upstream: RegisteredUpstream
@@ -83,16 +86,16 @@
 
 
 class Progress(msgspec.Struct):
-    """What has become of a request so far.
+    """Progress of a request over its attempts.
 
     Parameters
     ----------
     outcome : Outcome
-        What may be told of all attempts together.
+        Combined outcome of all attempts so far.
     failure : Failure
-        Of the last attempt.
+        Failure of the last attempt.
     tried : list of IncarnationName
-        Upstreams it was sent to, in order.
+        Upstreams to which it was sent, in order.
     sends : int
         Number of sends.
     """
@@ -109,7 +112,7 @@
     directory: UpstreamDirectory,
     now: float,
 ) -> Target | Wait:
-    """Return the upstream that owns a key, if it may get requests for it."""
+    """Return the owner of a key, or why it cannot be sent requests now."""
     tenure = None if table is None or key is None else table.find(key)
     if tenure is None:
         return Wait.NO_OWNER
@@ -128,12 +131,15 @@
     now: float,
     declined: Collection[IncarnationName] = (),
 ) -> list[RegisteredUpstream]:
-    """Return upstreams without keys, those not yet tried before others.
+    """Return the upstreams of a service without keys that may be tried next.
+
+    Upstreams that were already tried are returned only when there are no
+    others.
 
     Parameters
     ----------
     declined : collection of IncarnationName
-        Upstreams that bear no more at present.
+        Upstreams that cannot take another request at present.
     """
     active = [
         each
@@ -146,10 +152,10 @@
 
 
 def refine_failure(failure: Failure, keyed: bool) -> Failure:
-    """Return what a failure means for a service with or without keys.
+    """Return the failure as it applies to a service with or without keys.
 
-    An upstream without keys has none to refuse for: where it seems to,
-    another one has its address.
+    An upstream of a service without keys cannot refuse for lack of ownership.
+    If it appears to, another upstream has taken over its address.
     """
     if failure is Failure.NOT_OWNER and not keyed:
         return Failure.FOREIGN
@@ -163,31 +169,33 @@
     times: RequestTimes,
     now: float,
 ) -> bool:
-    """Tell whether a request may be sent once more after a failure.
+    """Return whether a request may be sent again after a failure.
 
     Parameters
     ----------
     route : RouteRule
-        Its route.
+        Route of the request.
     progress : Progress
-        What has become of it so far.
+        Progress over the attempts so far.
     keyed : bool
-        Whether only one upstream may run it.
+        Whether only one upstream may run the request.
     times : RequestTimes
-        Its times.
+        Times of the request.
     now : float
-        Own clock.
+        Current monotonic time in seconds.
 
     Notes
     -----
-    Once a byte has left, only the upstream's own word or the route's leave
-    to run twice allow another send.
+    Once a byte has been sent, the request is sent again only if the upstream
+    confirmed that it did not run or the route is idempotent.
     """
     if progress.outcome is Outcome.UNKNOWN and not route.idempotent:
         return False
-    if progress.sends >= max(_LEAST_SENDS, route.attempts):
+    if progress.sends >= max(_MIN_SENDS, route.attempts):
         return False
     if not keyed and len(set(progress.tried)) >= route.attempts:
         return False
-    # What is left must be worth a second run of the upstream's work.
-    return times.final - now > _LEAST_LEFT * (times.final - times.began)
+    # Enough time must be left for the upstream to run the request again.
+    return times.final - now > _MIN_REMAINING_SHARE * (
+        times.final - times.began
+    )
--- a/sedgetide/core/requests/averages.py
+++ b/sedgetide/core/requests/averages.py
@@ -1,16 +1,16 @@
-"""What requests of one host usually take, and how large answers are."""
+"""Moving averages of service times and answer sizes on one host."""
 
 from sedgetide.core.identifiers import RouteName
 from sedgetide.core.identifiers import ServiceName
 
-# Seconds; before the first answer of a service.
-_FIRST_GUESS = 0.25
-# Half of the weight lies on the last seven answers.
-_GAIN = 0.1
+# Seconds; used before the first answer of a service.
+_DEFAULT_SERVICE_TIME = 0.25
+# Smoothing factor; half of the weight is on the last seven answers.
+_SMOOTHING = 0.1
 
 
 class AnswerAverages:
-    """Means of the last answers, by service and by route."""
+    """Exponential moving averages of answers, by service and by route."""
 
     def __init__(self) -> None:
         self._seconds: dict[ServiceName, float] = {}
@@ -23,24 +23,24 @@
         seconds: float,
         size: int,
     ) -> None:
-        """Take in an answer.
+        """Update the averages from an answer.
 
         Parameters
         ----------
         seconds : float
-            From the send to the whole answer.
+            Time from the send to the complete answer.
         size : int
-            Bytes of its body.
+            Size of its body in bytes.
         """
         usual = self._seconds.setdefault(service, seconds)
-        self._seconds[service] = usual + _GAIN * (seconds - usual)
+        self._seconds[service] = usual + _SMOOTHING * (seconds - usual)
         known = self._bytes.setdefault(route, size)
-        self._bytes[route] = known + _GAIN * (size - known)
+        self._bytes[route] = known + _SMOOTHING * (size - known)
 
     def find_service_time(self, service: ServiceName) -> float:
-        """Return what requests for a service take, in seconds."""
-        return self._seconds.get(service, _FIRST_GUESS)
+        """Return the average service time of a service in seconds."""
+        return self._seconds.get(service, _DEFAULT_SERVICE_TIME)
 
     def find_answer_size(self, route: RouteName) -> float:
-        """Return how large answers of a route are; zero before the first."""
+        """Return the average answer size of a route; zero before the first."""
         return self._bytes.get(route, 0.0)
--- a/sedgetide/core/requests/bodylimits.py
+++ b/sedgetide/core/requests/bodylimits.py
@@ -1,53 +1,54 @@
-"""How many bytes of callers' bodies a host may hold."""
+"""Limit of the bytes of request bodies that a host holds in memory."""
 
-# A body that is being passed on stands in memory up to three times: as it was
-# read, as one piece, and in the request to the upstream.
+# A forwarded body is in memory up to three times: as the chunks read, joined,
+# and in the request to the upstream.
 _COPIES = 3
-# Megabytes that a host takes without any body: 28 to 52 on hosts of up to
-# 195, and room for as much again in answers.
-_OWN_MEGABYTES = 80
-_LEAST_SHARE = 0.1
+# Megabytes used by a host without any body: 28 to 52 in deployments of up to
+# 195 hosts, plus the same again for answers.
+_BASE_MEGABYTES = 80
+_MIN_BODY_SHARE = 0.1
 _MEGABYTE = 1024 * 1024
 
 
 def compute_body_limit(memory_megabytes: float) -> int:
-    """Return the bytes of bodies that fit into a host's memory.
+    """Return how many bytes of bodies fit into the memory of a host.
 
     Parameters
     ----------
     memory_megabytes : float
-        Memory of the process.
+        Memory available to the process.
     """
-    room = memory_megabytes - _OWN_MEGABYTES
-    room = max(room, memory_megabytes * _LEAST_SHARE)
-    return int(room * _MEGABYTE / _COPIES)
+    available = memory_megabytes - _BASE_MEGABYTES
+    available = max(available, memory_megabytes * _MIN_BODY_SHARE)
+    return int(available * _MEGABYTE / _COPIES)
 
 
 class BodyBudget:
-    """Bytes of bodies that are in hand, and their bound.
+    """Counts the bytes of bodies held in memory against a limit.
 
-    Uploads come in at the pace of many callers and leave at the pace of
-    their upstreams. Without a bound a few dozen large ones end the process,
-    and with it every request that it has in hand; with one, the caller of
-    the upload that does not fit hears at once that it has not run.
+    Uploads arrive at the combined rate of many callers and leave at the rate
+    of their upstreams. Without a limit, a few dozen large uploads exhaust
+    the memory of the process, which then loses every request in progress.
+    With one, the caller of an upload that does not fit is told at once that
+    it was not run.
 
     Parameters
     ----------
-    most : int
-        Bytes at most.
+    limit : int
+        Maximum number of bytes.
     """
 
-    def __init__(self, most: int) -> None:
-        self._most = most
+    def __init__(self, limit: int) -> None:
+        self._limit = limit
         self.held = 0
 
     def take(self, size: int) -> bool:
-        """Hold some bytes; return whether they fit."""
-        if size and self.held + size > self._most:
+        """Reserve bytes; return whether they fit within the limit."""
+        if size and self.held + size > self._limit:
             return False
         self.held += size
         return True
 
     def give_back(self, size: int) -> None:
-        """Hold some bytes no longer."""
+        """Release reserved bytes."""
         self.held -= size
--- a/sedgetide/core/requests/brokenruns.py
+++ b/sedgetide/core/requests/brokenruns.py
@@ -1,10 +1,10 @@
-"""Requests whose connection broke, until it is known what became of it.
+"""Attribution of broken connections to the crash of an upstream.
 
-A connection that ends without a whole answer looks alike for a process that
-crashed, a full upstream that resets, a reset on the way, a garbled answer and
-a pause of the own host. They differ in what follows: after a crash nobody
-listens at the address, and a little later the registry drops the entry; after
-all else the upstream goes on answering.
+A connection that ends without a complete answer looks the same whether the
+process crashed, an overloaded upstream reset it, it was reset on the way, the
+answer was garbled, or the local host was paused. The causes differ in what
+follows: after a crash nothing listens at the address, and a little later the
+registry drops the entry; in all other cases the upstream keeps answering.
 """
 
 import enum
@@ -16,39 +16,38 @@
 from sedgetide.core.identifiers import RequestId
 from sedgetide.core.membership.directory import UpstreamDirectory
 
-# Seconds; an entry lapses after three heartbeats, 2.6 s at 0.87 s each, and
-# twice that covers news that come late.
-_OPEN_FOR = 6.0
-# Requests kept for each upstream; it works on a few at a time, the rest waits
-# in its queue.
-_MOST_EACH = 32
-_MOST_UPSTREAMS = 256
+# A registry entry expires after three heartbeats, which is 2.6 s at 0.87 s
+# each; twice that allows for delayed updates.
+_PENDING_SECONDS = 6.0
+# An upstream runs only a few requests at a time and queues the others.
+_MAX_PER_UPSTREAM = 32
+_MAX_UPSTREAMS = 256
 
 
 class LossProof(enum.Enum):
-    """How it is known that an upstream has ended."""
+    """Evidence that an upstream has ended."""
 
     REFUSED = "refused"
     WITHDRAWN = "withdrawn"
 
 
 class BrokenRun(msgspec.Struct, frozen=True):
-    """A request whose connection to an upstream broke.
+    """An attempt whose connection to an upstream broke.
 
     Parameters
     ----------
     request : RequestId
         Id of the attempt.
     fingerprint : Fingerprint
-        What it and its repeats have in common.
+        Fingerprint shared by the request and its repetitions.
     at : float
-        When, by the own clock.
+        Monotonic time at which the connection broke.
     caller : str
-        Address that it came from.
+        Address of the caller.
     host_header, target : str
-        What it asked for.
+        Host header and target of the request.
     alone : bool
-        Whether no other grave suspect ran meanwhile.
+        Whether no other strong suspect ran at the same time.
     """
 
     request: RequestId
@@ -61,16 +60,16 @@
 
 
 class EndedUpstream(msgspec.Struct, frozen=True):
-    """An upstream that ended, and what it was asked then.
+    """An upstream that ended, and the requests it was running.
 
     Parameters
     ----------
     upstream : IncarnationName
-        Which start of which upstream.
+        Incarnation that ended.
     proof : LossProof
-        How it is known.
+        Evidence of the end.
     runs : tuple of BrokenRun
-        What the own host had there.
+        Attempts of this host that were interrupted.
     """
 
     upstream: IncarnationName
@@ -79,51 +78,54 @@
 
     @property
     def at(self) -> float:
-        """When it ended, by the own clock."""
+        """Monotonic time at which it ended."""
         return min(run.at for run in self.runs)
 
 
 class BrokenRuns:
-    """Broken requests of one host by upstream."""
+    """Interrupted attempts of one host, by upstream."""
 
     def __init__(self) -> None:
-        self._open: dict[IncarnationName, list[BrokenRun]] = {}
+        self._pending: dict[IncarnationName, list[BrokenRun]] = {}
 
     def note(self, upstream: IncarnationName, run: BrokenRun) -> None:
-        """Take in that a request's connection broke."""
-        if upstream not in self._open and len(self._open) >= _MOST_UPSTREAMS:
-            del self._open[next(iter(self._open))]
-        runs = self._open.setdefault(upstream, [])
-        if len(runs) < _MOST_EACH:
+        """Record that the connection of an attempt broke."""
+        if (
+            upstream not in self._pending
+            and len(self._pending) >= _MAX_UPSTREAMS
+        ):
+            del self._pending[next(iter(self._pending))]
+        runs = self._pending.setdefault(upstream, [])
+        if len(runs) < _MAX_PER_UPSTREAM:
             runs.append(run)
 
     def note_answer(self, upstream: IncarnationName, began: float) -> None:
-        """Take in that an upstream has answered a request.
+        """Record that an upstream has answered a request.
 
-        It had not ended when the request was sent, so what broke before has
-        another reason. An answer to an older request may have left right
-        before the end.
+        It was still running when that request was sent, so connections that
+        broke earlier have another cause. The answer to a request sent before
+        the break proves nothing: it may have left right before the end.
 
         Parameters
         ----------
         upstream : IncarnationName
-            Which start of which upstream.
+            Incarnation that answered.
         began : float
-            When the request was sent, by the own clock.
+            Monotonic time at which the request was sent.
         """
-        if upstream not in self._open:
+        if upstream not in self._pending:
             return
-        left = [run for run in self._open[upstream] if run.at >= began]
+        left = [run for run in self._pending[upstream] if run.at >= began]
         if left:
-            self._open[upstream] = left
+            self._pending[upstream] = left
         else:
-            del self._open[upstream]
+            del self._pending[upstream]
 
     def pop_ended(
         self, upstream: IncarnationName, proof: LossProof
     ) -> EndedUpstream | None:
-        """Return what an upstream had that is known to have ended."""
-        runs = self._open.pop(upstream, None)
+        """Remove and return the attempts of an upstream that has ended."""
+        runs = self._pending.pop(upstream, None)
         if not runs:
             return None
         return EndedUpstream(upstream, proof, tuple(runs))
@@ -131,11 +133,11 @@
     def pop_withdrawn(
         self, directory: UpstreamDirectory, now: float
     ) -> list[EndedUpstream]:
-        """Return the upstreams that the registry has dropped meanwhile."""
+        """Remove and return the upstreams that the registry has dropped."""
         ended = []
-        for name, runs in list(self._open.items()):
+        for name, runs in list(self._pending.items()):
             if directory.find(name) is None:
                 ended.append(self.pop_ended(name, LossProof.WITHDRAWN))
-            elif now - runs[-1].at > _OPEN_FOR:
-                del self._open[name]
+            elif now - runs[-1].at > _PENDING_SECONDS:
+                del self._pending[name]
         return ended
--- a/sedgetide/core/requests/coldstart.py
+++ b/sedgetide/core/requests/coldstart.py
@@ -1,79 +1,79 @@
-"""How many requests a cold upstream bears, over all hosts.
+"""Limit of the request rate to a cold upstream, over all hosts.
 
-An upstream that has just started, or lost what it keeps in memory, ends when
-it is sent more than it bears. Hosts that do not know of each other's sends
-would each take it for idle, all at once. So one host, the lender of its
-places, counts what all of them send.
+An upstream that has just started, or has lost its in-memory state, fails when
+it is sent more than it can handle. Hosts that do not know of each other's
+requests would all consider it idle and send at once. Therefore one host, the
+lender of the upstream's places, counts the sends of all hosts.
 
-Two hosts may believe for a moment that they are the lender. Each therefore
-lets only half of the bound pass, and needs nobody's word to keep to it; where
-no lender answers, nothing is sent to a cold upstream.
+Two hosts may believe for a moment that they are the lender. Each allows only
+half of the limit, so that the limit holds without coordination between them.
+If no lender answers, nothing is sent to a cold upstream.
 """
 
 import collections
 import math
 
-# The one that is named, and one that has not heard yet that it no longer is.
-_LENDERS_AT_ONCE = 2
-# Seconds. The bound holds in any one second at the upstream. Sends that were
-# allowed over a little more than one arrive closer together when the first
-# of them were held up on their way.
-_SPAN = 1.25
-# Requests a second; more is no bound.
-_MOST = 1_000_000
+# The current lender, and a former one that has not yet learnt of the change.
+_MAX_CONCURRENT_LENDERS = 2
+# The limit applies to any one second at the upstream. The window is longer
+# because sends arrive closer together when the first of them are delayed on
+# the way.
+_WINDOW_SECONDS = 1.25
+# Requests per second; a higher rate counts as unlimited.
+_MAX_RATE = 1_000_000
 
 
 def compute_cold_send_limit(rate: float, overrun: float, slack: float) -> int:
-    """Return how many sends one lender allows in the time of a span.
+    """Return how many sends one lender allows per window.
 
     Parameters
     ----------
     rate : float
-        Requests a second that a cold upstream is made for.
+        Requests per second for which a cold upstream is designed.
     overrun : float
-        Factor of it that it bears.
+        Multiple of ``rate`` that it can handle.
     slack : float
-        Requests that it bears besides.
+        Additional requests that it can handle.
     """
-    total = min(_MOST, rate * overrun + slack)
-    return max(0, math.floor(total / _LENDERS_AT_ONCE))
+    total = min(_MAX_RATE, rate * overrun + slack)
+    return max(0, math.floor(total / _MAX_CONCURRENT_LENDERS))
 
 
 class RecentSends:
-    """Sends that a lender has allowed to one upstream lately."""
+    """Recent sends to one upstream that a lender has allowed."""
 
     def __init__(self) -> None:
         self._times: collections.deque[float] = collections.deque()
 
     def note(self, now: float) -> None:
-        """Take in that one send is allowed."""
+        """Record an allowed send."""
         self._times.append(now)
-        while self._times[0] <= now - _SPAN:
+        while self._times[0] <= now - _WINDOW_SECONDS:
             self._times.popleft()
 
     def find_wait(self, bound: int, ahead: int, now: float) -> float:
-        """Return after how many seconds one more may be allowed.
+        """Return the seconds until another send may be allowed.
 
         Parameters
         ----------
         bound : int
-            Most sends in the time of a span.
+            Maximum number of sends per window.
         ahead : int
-            Requests that wait and go first.
+            Number of waiting requests that go first.
         now : float
-            Own clock.
+            Current monotonic time in seconds.
         """
         if bound <= 0:
             return float("inf")
-        times = [each for each in self._times if each > now - _SPAN]
+        times = [each for each in self._times if each > now - _WINDOW_SECONDS]
         known = len(times)
         position = known + ahead
-        spans = 0
-        # Each send has to wait until the one before it by as many as the
-        # bound is a span old.
+        windows = 0
+        # Each send has to wait until the send ``bound`` positions before it
+        # has left the window.
         while position >= known:
             position -= bound
             if position < 0:
-                return spans * _SPAN
-            spans += 1
-        return times[position] + spans * _SPAN - now
+                return windows * _WINDOW_SECONDS
+            windows += 1
+        return times[position] + windows * _WINDOW_SECONDS - now
--- a/sedgetide/core/requests/fingerprints.py
+++ b/sedgetide/core/requests/fingerprints.py
@@ -1,4 +1,4 @@
-"""What a request and its repeats by the same caller have in common."""
+"""Fingerprints that identify a request across its repetitions."""
 
 import hashlib
 import re
@@ -13,20 +13,21 @@
 def make_fingerprint(
     method: str, host: str, target: str, body: bytes
 ) -> Fingerprint:
-    """Return what stands for a request in logs and in the quarantine.
+    """Return the fingerprint of a request for logs and the quarantine.
 
-    Each attempt has an id of its own, so the id tells nothing of repeats;
-    nor does the address that it comes from, which a caller behind several
-    proxies changes with each attempt. The hash is a cryptographic one: with
-    any other, a caller could make a request that is taken for another's.
-    Each part goes in with its length, so that no two requests are one text.
+    The request id differs between attempts and therefore does not identify
+    repetitions. Neither does the source address, which changes with each
+    attempt of a caller behind several proxies. The hash is cryptographic, so
+    that a caller cannot craft a request with the fingerprint of another one.
+    Each part is prefixed with its length, so that different requests never
+    hash the same input.
 
     Parameters
     ----------
     method, host, target : str
-        What is asked for.
+        Request method, host header and request target.
     body : bytes
-        Whole body.
+        Complete body.
     """
     digest = hashlib.blake2b(digest_size=_BYTES)
     for part in (method, host, target):
--- a/sedgetide/core/requests/idleconnections.py
+++ b/sedgetide/core/requests/idleconnections.py
@@ -1,43 +1,43 @@
-"""For how long a kept connection may have rested before it is used."""
+"""Limit of the idle time after which a connection is still reused."""
 
-_SHORTEST = 0.2
-_CLOSER = 0.5
-_MEMORY = 30.0
+_MIN_IDLE = 0.2
+_REDUCTION_FACTOR = 0.5
+_RETENTION_SECONDS = 30.0
 
 
 class IdleLimit:
-    """Longest rest after which a connection is still taken to be alive.
+    """Longest idle time after which a connection is assumed to be alive.
 
-    Upstreams close idle connections after a time that they announce, and
-    some forget them sooner and without notice. What is sent next is reset,
-    and nothing but the upstream's own word tells whether it ran: a request
-    that may run once is lost. After such a reset those requests go out on
-    connections that rested less, or on new ones, until it is forgotten.
+    Upstreams announce after which time they close idle connections, but some
+    drop them earlier and without notice. The next request is then reset, and
+    only the upstream could tell whether it ran: a non-idempotent request is
+    lost. After such a reset, these requests use connections that have been
+    idle for a shorter time, or new ones, until the reset is forgotten.
     """
 
     def __init__(self) -> None:
-        self._longest = float("inf")
-        self._noted_at = float("-inf")
+        self._max_idle = float("inf")
+        self._reset_at = float("-inf")
 
     def note_reset(self, rested: float, now: float) -> None:
-        """Take in that a request got a reset instead of an answer.
+        """Record that a request was reset instead of answered.
 
         Parameters
         ----------
         rested : float
-            Seconds for which its connection had been idle; a reset after a
-            short rest tells of something else.
+            Seconds for which its connection had been idle. A reset after a
+            short idle time has another cause and is ignored.
         now : float
-            Own clock.
+            Current monotonic time in seconds.
         """
-        if rested < _SHORTEST:
+        if rested < _MIN_IDLE:
             return
-        closer = max(_SHORTEST, rested * _CLOSER)
-        self._longest = min(self.find_max_idle(now), closer)
-        self._noted_at = now
+        reduced = max(_MIN_IDLE, rested * _REDUCTION_FACTOR)
+        self._max_idle = min(self.find_max_idle(now), reduced)
+        self._reset_at = now
 
     def find_max_idle(self, now: float) -> float:
-        """Return the longest rest that is trusted, in seconds."""
-        if now - self._noted_at > _MEMORY:
+        """Return the longest idle time for reuse, in seconds."""
+        if now - self._reset_at > _RETENTION_SECONDS:
             return float("inf")
-        return self._longest
+        return self._max_idle
--- a/sedgetide/core/requests/loadbalancing.py
+++ b/sedgetide/core/requests/loadbalancing.py
@@ -1,4 +1,4 @@
-"""Which of several equal upstreams gets a request."""
+"""Load balancing among the upstreams of a service without keys."""
 
 from collections.abc import Sequence
 import random
@@ -7,44 +7,45 @@
 
 from sedgetide.core.membership.directory import RegisteredUpstream
 
-_IDLE = 0.7
-_FOREIGN_COST = 1.2
-# Bytes that cross share a link and a failure domain with all else that does.
-# A request whose bodies are small goes where it is served soonest; one with a
-# large body stays near until the queue there costs it more than this.
+_BASE_LOAD = 0.7
+_REMOTE_FACTOR = 1.2
+# Traffic between data centres shares its links and their failures. A request
+# with small bodies goes where it is served soonest; one with a large body
+# stays in the local data centre until the queue there costs it more than this.
 _CROSSING_BYTES_PER_SECOND = 50_000.0
-# An answer within the objective is as good as a sooner one, so staying near
-# may cost so much of it, and no more.
-_CROSSING_SHARE = 0.6
-_CONNECTING_COST = 1.2
-_SUSPECT_COST = 4.0
-# It takes longer, or has little room, and is asked for a place first.
-_BOUNDED_COST = 3.0
+# An answer within the objective is as good as an earlier one, so staying in
+# the local data centre may cost up to this share of the objective.
+_MAX_CROSSING_SHARE = 0.6
+_CONNECT_FACTOR = 1.2
+_SUSPECT_FACTOR = 4.0
+# A rate-limited upstream is slower or has little capacity, and needs a place
+# from its lender before each send.
+_BOUNDED_FACTOR = 3.0
 _JITTER = 0.1
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """An upstream as one host sees it.
+    """An upstream as seen by one host.
 
     Parameters
     ----------
     upstream : RegisteredUpstream
-        Which.
+        Registry entry of the upstream.
     seconds : float
-        How long requests take there.
+        Estimated service time of a request there.
     queue : float
-        Requests that are there or wait to be sent there.
+        Number of requests that run there or wait to be sent there.
     near : bool
-        Whether it is in the host's own data centre.
+        Whether it is in the data centre of the host.
     connected : bool
-        Whether an idle connection to it is kept.
+        Whether an idle connection to it is open.
     suspect : bool
-        Whether requests failed there lately.
+        Whether requests failed there recently.
     crossing : float
-        Seconds that staying in the own data centre is worth; see
-        :func:`compute_crossing_cost`. Zero for an upstream that is there.
+        Cost in seconds of leaving the local data centre; see
+        :func:`compute_crossing_cost`. Zero for a local upstream.
     bounded : bool
-        Whether it bears only so many requests a second, from all hosts.
+        Whether the request rate of all hosts together is limited there.
     """
 
     upstream: RegisteredUpstream
@@ -58,51 +59,56 @@
 
 
 def compute_crossing_cost(size: float, objective: float) -> float:
-    """Return how much sooner a crossing has to bring the answer, in seconds.
+    """Return the cost in seconds of sending to another data centre.
+
+    A remote upstream must be expected to answer that much sooner than a local
+    one to be chosen.
 
     Parameters
     ----------
     size : float
-        Bytes of the request's body and of its usual answer.
+        Bytes of the request body and of the average answer.
     objective : float
-        Seconds within which an answer is worth most.
+        Seconds within which an answer meets the route's objective.
     """
-    return min(size / _CROSSING_BYTES_PER_SECOND, _CROSSING_SHARE * objective)
+    return min(
+        size / _CROSSING_BYTES_PER_SECOND, _MAX_CROSSING_SHARE * objective
+    )
 
 
 def estimate_cost(candidate: Candidate) -> float:
-    """Return the seconds that a request would take, prices added to them.
+    """Return the expected duration of a request plus penalties, in seconds.
 
-    A connection that has to be opened and a body that crosses to another
-    data centre are paid for, so that a host with few requests keeps to a
-    few upstreams instead of visiting each in turn. A queue of one request
-    a slot outweighs both.
+    Opening a connection and sending a body to another data centre add to the
+    cost, so that a host with few requests reuses a few upstreams instead of
+    cycling through all of them. A queue of one request per slot outweighs
+    both penalties.
     """
     cost = candidate.seconds * (
-        _IDLE + candidate.queue / candidate.upstream.slots
+        _BASE_LOAD + candidate.queue / candidate.upstream.slots
     )
     if not candidate.near:
-        cost *= _FOREIGN_COST
+        cost *= _REMOTE_FACTOR
     if not candidate.connected:
-        cost *= _CONNECTING_COST
+        cost *= _CONNECT_FACTOR
     if candidate.suspect:
-        cost *= _SUSPECT_COST
+        cost *= _SUSPECT_FACTOR
     if candidate.bounded:
-        cost *= _BOUNDED_COST
+        cost *= _BOUNDED_FACTOR
     return cost + candidate.crossing
 
 
 def choose_upstream(
     candidates: Sequence[Candidate], source: random.Random
 ) -> RegisteredUpstream:
-    """Return the upstream that costs least.
+    """Return the upstream with the lowest cost.
 
-    Costs are blurred a little: hosts that know the same would otherwise
-    all choose the same one.
+    Random jitter is added to the costs: hosts with the same information
+    would otherwise all choose the same upstream.
     """
 
-    def blur(candidate: Candidate) -> float:
+    def add_jitter(candidate: Candidate) -> float:
         factor = source.uniform(1.0 - _JITTER, 1.0 + _JITTER)
         return estimate_cost(candidate) * factor
 
-    return min(candidates, key=blur).upstream
+    return min(candidates, key=add_jitter).upstream
--- a/sedgetide/core/requests/operations.py
+++ b/sedgetide/core/requests/operations.py
@@ -1,4 +1,4 @@
-"""Operation ids: a repeated non-idempotent request never runs again."""
+"""Idempotency keys: a repeated non-idempotent request never runs again."""
 
 import collections
 from collections.abc import Hashable
@@ -30,7 +30,7 @@
     -------
     float or None
         Unix time in seconds; None when the id is not a version 7 UUID
-        (RFC 9562, section 5.7), whose first 48 bits are its time of issue.
+        (RFC 9562, section 5.7), whose first 48 bits are its timestamp.
     """
     try:
         parsed = uuid.UUID(operation)
@@ -47,15 +47,16 @@
     Attributes
     ----------
     RUN
-        First sight; run it.
+        The id is new; run the request.
     JOIN
-        It is running; wait for that run's answer.
+        The request is running; wait for the answer of that run.
     REPEAT
-        It ran; give the remembered answer.
+        The request has run; return the stored answer.
     LOST
-        It may have run under a predecessor or beyond the window.
+        The request may have run under a previous keeper or before the
+        window.
     FULL
-        No memory is left to remember it.
+        The log has no capacity left.
     """
 
     RUN = "run"
@@ -71,21 +72,22 @@
 
 
 class OperationLog(Generic[AnswerT]):
-    """Operations that one keeper ran for the shards it serves.
+    """Operations that one keeper has run for the shards it serves.
 
-    The log of a keeper is lost with it. It therefore notes since when it
-    has served each shard; an id issued before then may have run under a
-    predecessor and is answered as unknown rather than run.
+    The log is lost with its keeper. Each keeper therefore records the start
+    of its tenure, the time since when it has served a shard. An id issued
+    before that may have run under a previous keeper and is answered as
+    unknown instead of being run.
 
     Parameters
     ----------
     window : float
-        Seconds for which an answer is remembered.
+        Seconds for which an answer is kept.
     capacity : int
-        Operations remembered at most.
+        Maximum number of operations kept.
     clock_skew : float
-        Largest difference, in seconds, between the wall clocks of callers
-        and hosts.
+        Maximum difference in seconds between the wall clocks of callers and
+        hosts.
     """
 
     def __init__(
@@ -93,7 +95,7 @@
     ) -> None:
         self._window = window
         self._capacity = capacity
-        self._skew = clock_skew
+        self._clock_skew = clock_skew
         self._entries: collections.OrderedDict[
             OperationId, _Entry[AnswerT]
         ] = collections.OrderedDict()
@@ -103,16 +105,16 @@
         return len(self._entries)
 
     def begin_tenure(self, shard: Hashable, epoch: Epoch, wall: float) -> None:
-        """Note that this keeper serves a shard from now on.
+        """Record that this keeper serves a shard from now on.
 
-        A call for the tenure that already runs changes nothing.
+        A call for the current tenure has no effect.
         """
         held = self._tenures.get(shard)
         if held is None or held[0] != epoch:
             self._tenures[shard] = (epoch, wall)
 
     def end_tenures(self) -> None:
-        """Note that another keeper has given orders for these shards."""
+        """Record that another keeper has issued orders for these shards."""
         self._tenures.clear()
 
     def judge(
@@ -122,7 +124,7 @@
         wall: float,
         first_attempt: bool = False,
     ) -> Admission:
-        """Decide what to do with an operation.
+        """Decide how to handle a request with an operation id.
 
         Parameters
         ----------
@@ -131,12 +133,12 @@
         shard : hashable
             Shard of the request's key.
         wall : float
-            Present Unix time in seconds.
+            Current Unix time in seconds.
         first_attempt : bool
-            The caller vouches that no attempt came before, so that none
-            can have run under a predecessor.
+            Whether the caller guarantees that this is its first attempt, so
+            that none can have run under a previous keeper.
         """
-        self._forget_old(wall)
+        self._evict_expired(wall)
         entry = self._entries.get(operation)
         if entry is not None:
             return Admission.JOIN if entry.answer is None else Admission.REPEAT
@@ -153,30 +155,30 @@
         tenure = self._tenures.get(shard)
         if issued is None or tenure is None:
             return True
-        if issued <= tenure[1] + self._skew:
+        if issued <= tenure[1] + self._clock_skew:
             return True
-        return issued <= wall - self._window + self._skew
+        return issued <= wall - self._window + self._clock_skew
 
     def begin(self, operation: OperationId, wall: float) -> None:
-        """Note that an operation is about to run."""
+        """Record that an operation is about to run."""
         self._entries[operation] = _Entry(wall)
 
     def withdraw(self, operation: OperationId) -> None:
-        """Note that an operation certainly did not run."""
+        """Remove an operation that is known not to have run."""
         self._entries.pop(operation, None)
 
     def finish(self, operation: OperationId, answer: AnswerT) -> None:
-        """Remember the answer of an operation, also when unknown."""
+        """Store the answer of an operation, also an unknown outcome."""
         entry = self._entries.get(operation)
         if entry is not None:
             entry.answer = answer
 
     def find_answer(self, operation: OperationId) -> AnswerT | None:
-        """Return the remembered answer, or None while it runs."""
+        """Return the stored answer, or None while the operation runs."""
         entry = self._entries.get(operation)
         return None if entry is None else entry.answer
 
-    def _forget_old(self, wall: float) -> None:
+    def _evict_expired(self, wall: float) -> None:
         while self._entries:
             operation, entry = next(iter(self._entries.items()))
             if entry.begun_wall > wall - self._window:
--- a/sedgetide/core/requests/outcomes.py
+++ b/sedgetide/core/requests/outcomes.py
@@ -1,15 +1,15 @@
-"""Outcome of a request and the rule that keeps it honest."""
+"""Outcome of a request and the rules by which it is determined."""
 
 import enum
 
 
 class Outcome(enum.Enum):
-    """What a caller is told about its request.
+    """Outcome of a request as reported to its caller.
 
     Attributes
     ----------
     ANSWERED
-        The owner's whole answer is passed on.
+        The complete answer of the owner is passed on.
     NOT_RUN
         The request had no effect and will have none.
     UNKNOWN
@@ -45,7 +45,7 @@
     TOO_LARGE = "too-large"
 
 
-# A refusal for one of these is expected to end by itself within a handover.
+# Conditions that are expected to end within the duration of a handover.
 TRANSIENT_REASONS = frozenset(
     {
         Reason.NOT_KEEPER,
@@ -57,15 +57,14 @@
     }
 )
 
-# After one of these a request may have run; only an idempotent one is sent
-# again.
+# The request may have run, so it is sent again only if it is idempotent.
 UNCERTAIN_REASONS = frozenset(
     {Reason.LINK_LOST, Reason.SILENT, Reason.BAD_ANSWER}
 )
 
 
 class Phase(enum.Enum):
-    """How far a request has come on its way to an upstream."""
+    """Progress of a request on its way to an upstream."""
 
     ACCEPTED = "accepted"
     QUEUED = "queued"
@@ -75,20 +74,20 @@
 
 
 def judge_failure(phase: Phase) -> Outcome:
-    """Return the outcome that may be told when a request fails.
+    """Return the outcome to report for a failed request.
 
     Parameters
     ----------
     phase : Phase
-        Furthest phase the request reached. ``DECLINED`` means that the
-        upstream itself confirmed that it had not begun.
+        Last phase that the request reached. ``DECLINED`` means that the
+        upstream confirmed that it had not started the request.
 
     Returns
     -------
     Outcome
-        ``NOT_RUN`` only while no byte can have reached an upstream or when
-        the upstream said so: an answer lost after the hand-over looks to
-        the sender just like a request that never arrived.
+        ``NOT_RUN`` only if no byte can have reached an upstream or if the
+        upstream confirmed it. After the hand-over, a lost answer and a
+        request that never arrived look the same to the sender.
     """
     if phase in (Phase.ACCEPTED, Phase.QUEUED, Phase.DECLINED):
         return Outcome.NOT_RUN
@@ -96,28 +95,28 @@
 
 
 def may_resend(outcome: Outcome, idempotent: bool) -> bool:
-    """Tell whether a request may be sent once more after a failure."""
+    """Return whether a request may be sent again after a failure."""
     if outcome is Outcome.NOT_RUN:
         return True
     return outcome is Outcome.UNKNOWN and idempotent
 
 
 def combine_outcomes(before: Outcome, last: Outcome) -> Outcome:
-    """Return what may be told after several attempts.
+    """Return the combined outcome of several attempts.
 
     Parameters
     ----------
     before : Outcome
-        What could have been told of all earlier attempts; ``NOT_RUN`` when
-        there were none.
+        Combined outcome of all earlier attempts; ``NOT_RUN`` when there
+        were none.
     last : Outcome
         Outcome of the last attempt.
 
     Returns
     -------
     Outcome
-        An attempt that was not run does not undo an earlier one that may
-        have been.
+        A last attempt that was not run does not change the outcome of an
+        earlier one that may have run.
     """
     if last is Outcome.NOT_RUN:
         return before
--- a/sedgetide/core/requests/overdue.py
+++ b/sedgetide/core/requests/overdue.py
@@ -1,35 +1,36 @@
-"""For how long callers have been waiting already, as their deadlines tell."""
+"""Detection of callers that retry, by the time left until their deadline."""
 
 import msgspec
 
 from sedgetide.core.identifiers import RouteName
 
-# Seconds; a route's longest deadline is forgotten after one to two of these,
-# so that a change of its callers' patience is learnt within two minutes.
-_SPAN = 60.0
-# Share of the objective. One that was refused comes back later than that; what
-# a network takes from a deadline is far less.
-_OVERDUE = 0.5
+# The longest deadline of a route is forgotten after one to two windows, so a
+# change of its callers' deadlines takes effect within two minutes.
+_WINDOW_SECONDS = 60.0
+# Share of the objective. A refused caller retries later than that; network
+# latency shortens a deadline by far less.
+_OVERDUE_SHARE = 0.5
 
 
-class _Longest(msgspec.Struct):
-    began: float
-    now: float = 0.0
-    before: float = 0.0
+class _LongestDeadline(msgspec.Struct):
+    started_at: float
+    current: float = 0.0
+    previous: float = 0.0
 
 
 class OverdueDetector:
-    """Tells callers who come again from those who come for the first time.
+    """Distinguishes retries from first attempts by the remaining deadline.
 
-    A caller tells how long it still waits, and all of a route's callers
-    begin with about the same time. One who has less left has been refused
-    before, and can't be answered within the objective any more. Where there
-    is not enough for all, those who still can go first: served in the order
-    of arrival, the late ones make the others late as well.
+    Each request states the time left until its deadline, and all callers of
+    a route start with about the same deadline. A request with less time left
+    has been refused before and can no longer be answered within the
+    objective. Under overload, requests that can still meet the objective go
+    first: served in order of arrival, overdue requests would delay the
+    others past their objective as well.
     """
 
     def __init__(self) -> None:
-        self._longest: dict[RouteName, _Longest] = {}
+        self._longest: dict[RouteName, _LongestDeadline] = {}
 
     def is_overdue(
         self,
@@ -38,23 +39,30 @@
         objective: float,
         now: float,
     ) -> bool:
-        """Take in a caller's deadline; tell whether it came late.
+        """Record a request's deadline and return whether it is overdue.
 
         Parameters
         ----------
         route : RouteName
-            Route of its request.
+            Route of the request.
         left : float or None
-            Seconds for which it waits; None when it did not say.
+            Seconds until the caller's deadline; None when not stated.
         objective : float
-            Seconds within which an answer is worth most.
+            Seconds within which an answer meets the route's objective.
         now : float
-            Own clock.
+            Current monotonic time in seconds.
         """
         if left is None:
             return False
-        known = self._longest.setdefault(route, _Longest(now))
-        if now - known.began > _SPAN:
-            known.began, known.before, known.now = now, known.now, 0.0
-        known.now = max(known.now, left)
-        return max(known.now, known.before) - left > _OVERDUE * objective
+        longest = self._longest.setdefault(route, _LongestDeadline(now))
+        if now - longest.started_at > _WINDOW_SECONDS:
+            longest.started_at, longest.previous, longest.current = (
+                now,
+                longest.current,
+                0.0,
+            )
+        longest.current = max(longest.current, left)
+        return (
+            max(longest.current, longest.previous) - left
+            > _OVERDUE_SHARE * objective
+        )
--- a/sedgetide/core/requests/places.py
+++ b/sedgetide/core/requests/places.py
@@ -1,18 +1,19 @@
-"""Places at an upstream, lent to hosts that do not know of each other.
-
-With many more hosts than an upstream has slots, each host sends it a request
-once in many seconds, and no window of its own tells it whether others do so
-at the same moment. One host, the lender, therefore keeps the queue of an
-upstream for all: they ask it for a place and send their requests themselves.
-
-Ownership and what may be told of a request do not rest on it. A lender that
-is lost, or two that lend the same places for a moment, cost order and time:
-the upstream itself refuses keys that it does not hold, and has room for a
-few requests more than its slots.
-
-The lender also counts what may be sent at all where that is bounded: to a
-cold upstream, and to one that names a limit. There a host that hears no
-lender sends nothing.
+"""Admission control for upstreams that are shared by many hosts.
+
+A place is a permit to send one request to an upstream. With many more hosts
+than an upstream has slots, each host sends it a request only once in many
+seconds, and cannot tell from its own window whether others send at the same
+moment. Therefore one host, the lender, keeps the queue of an upstream for all
+hosts: they ask it for a place and send their requests themselves.
+
+Neither ownership nor the reported outcome of a request depends on this. The
+loss of a lender, or two lenders that briefly lend the same places, affects
+only ordering and latency: the upstream itself refuses keys that it does not
+own, and can queue a few requests beyond its slots.
+
+The lender also enforces rate limits: of cold upstreams, and of upstreams that
+state a limit. To these, a host that gets no response from a lender sends
+nothing.
 """
 
 import enum
@@ -27,48 +28,50 @@
 from sedgetide.core.requests.ratelimits import StatedLimit
 from sedgetide.core.requests.ratelimits import TokenBucket
 
-# A holder that is lost never gives its place back. After so many times what
-# requests take there, and this many seconds at least, its request has ended
-# in all but a few cases; one too many waits at the upstream then.
-_LOAN_TIMES = 6.0
-_LEAST_LOAN = 2.0
-# Requests that wait for one upstream. Most are refused long before, by the
-# time they would have to wait; this bounds memory if callers wait for hours.
-_MOST_WAITING = 1000
-# Seconds without a request after which an upstream's queue is forgotten.
-_FORGOTTEN_AFTER = 30.0
-# Seconds; callers who were refused for a limit are back by then.
-_ASKED_FOR = 3.0
-# Places lent beyond an upstream's slots. Between two requests a place goes to
-# the lender and on to another host, and the slot would be idle for as long.
-# One request that waits at the upstream fills it; more of them could not be
-# overtaken by urgent ones.
-_AHEAD = 1
-_UNBOUNDED = float("inf")
-# Seconds; a cold upstream that bears nothing at all is warm by then.
-_LONGEST_REST = 3.0
+# A lost holder never returns its place. After this multiple of the service
+# time, and at least this many seconds, its request has ended in all but a few
+# cases; in those, one request too many waits at the upstream.
+_LOAN_FACTOR = 6.0
+_MIN_LOAN = 2.0
+# Requests waiting for one upstream. Most are refused much earlier because of
+# the expected wait; this limits memory if callers wait for hours.
+_MAX_WAITING = 1000
+# Seconds without a request after which the queue of an upstream is removed.
+_IDLE_EXPIRY = 30.0
+# Seconds; callers refused because of a limit have retried by then.
+_ACTIVE_SECONDS = 3.0
+# Places lent in excess of an upstream's slots. Between two requests a place
+# returns to the lender and goes on to another host, and the slot would be idle
+# meanwhile. One request queued at the upstream keeps it busy; with more,
+# urgent requests could not go first.
+_EXTRA_PLACES = 1
+_NO_DEADLINE = float("inf")
+# Seconds; a cold upstream that can handle nothing at all is warm by then.
+_MAX_COLD_WAIT = 3.0
 
 
 def rank_request(priority: int, overdue: bool) -> int:
-    """Return the place of a request in the order of a lender's queue.
+    """Return the priority of a request in a lender's queue.
 
-    Of equally urgent requests those go first that can still be answered in
-    time: callers who come back late would otherwise make the others late.
+    Among requests of the same priority, those that can still meet their
+    objective go first. Otherwise, overdue retries would delay the others past
+    their objective.
 
     Parameters
     ----------
     priority : int
-        Of its route; lower is more urgent.
+        Priority of the route; lower is more urgent.
     overdue : bool
-        Whether its caller was refused before and is late already.
+        Whether the request was refused before and is already late.
     """
     return 2 * priority + int(overdue)
 
 
 class Verdict(enum.Enum):
-    """What is said to a host that asks for leave to send a request.
+    """Response to a host that asks for permission to send a request.
 
-    ``needless``: none is needed any more; no place is ever needless.
+    ``needless`` is the response to a trial for which permission is no longer
+    needed; it is never given for a place.
     """
 
     GRANTED = "granted"
@@ -78,14 +81,14 @@
 
 
 class Ticket(msgspec.Struct, frozen=True):
-    """One request that needs a place.
+    """Identifies a request that needs a place.
 
     Parameters
     ----------
     holder : LinkAddress
-        Host that asks.
+        Link address of the requesting host.
     number : int
-        Its own number of the request.
+        Number of the request on that host.
     """
 
     holder: LinkAddress
@@ -93,16 +96,16 @@
 
 
 class Decision(msgspec.Struct, frozen=True):
-    """What becomes of a ticket.
+    """Decision on a ticket.
 
     Parameters
     ----------
     ticket : Ticket
-        Which.
+        Request that is decided on.
     verdict : Verdict
-        What its holder may do.
+        Response to its holder.
     retry_after : float
-        Seconds after which a refused caller does well to come again.
+        Seconds after which a refused caller should retry.
     """
 
     ticket: Ticket
@@ -110,8 +113,8 @@
     retry_after: float = 0.0
 
 
-class _Places:
-    """Places of one upstream, and who waits for them."""
+class _UpstreamPlaces:
+    """Places of one upstream, and the requests that wait for them."""
 
     def __init__(self, slots: int) -> None:
         self._slots = slots
@@ -119,7 +122,7 @@
         self._cold_bound: int | None = None
         self._bucket = TokenBucket()
         self._queue: UpstreamQueue[Ticket] = UpstreamQueue(
-            slots + _AHEAD, _MOST_WAITING, FIRST_GUESS
+            slots + _EXTRA_PLACES, _MAX_WAITING, FIRST_GUESS
         )
         self._waiting: dict[Ticket, Ticket] = {}
         self._lent: dict[Ticket, float] = {}
@@ -138,12 +141,14 @@
         self._cold_bound = cold_bound
         if limit is not None:
             self._bucket.note(limit, now)
-        rest = self._find_rest(self._queue.count_ahead(priority), now)
-        if rest > 0.0 and rest + self._queue.service_time > left:
-            return [Decision(ticket, Verdict.REFUSED, rest)]
-        free = rest <= 0.0 and self._queue.estimate_wait(priority) == 0.0
-        # Where a place is free, trying costs nobody else anything.
-        deadline = _UNBOUNDED if free else now + left
+        limit_wait = self._find_limit_wait(
+            self._queue.count_ahead(priority), now
+        )
+        if limit_wait > 0.0 and limit_wait + self._queue.service_time > left:
+            return [Decision(ticket, Verdict.REFUSED, limit_wait)]
+        free = limit_wait <= 0.0 and self._queue.estimate_wait(priority) == 0.0
+        # If a place is free, even a late request delays no other.
+        deadline = _NO_DEADLINE if free else now + left
         refusal = self._queue.offer(ticket, priority, deadline, now)
         if refusal is not None:
             return [Decision(ticket, Verdict.REFUSED, refusal.retry_after)]
@@ -154,7 +159,7 @@
         return decisions
 
     def note_limit(self, said: StatedLimit, now: float) -> list[Decision]:
-        """Take in what an answer said of the upstream's limit."""
+        """Update the limit of the upstream from an answer."""
         self._bucket.note(said, now)
         return self._admit(now)
 
@@ -168,10 +173,10 @@
         if self._lent.pop(ticket, None) is None:
             return []
         self._queue.finish(seconds)
-        # Whoever else waits at the upstream was sent there without a place,
+        # Any other request queued at the upstream was sent without a place
         # and takes the slot that has just become free.
-        strange = max(0, waiting - _AHEAD)
-        self._queue.slots = max(1, self._slots + _AHEAD - strange)
+        unlent = max(0, waiting - _EXTRA_PLACES)
+        self._queue.slots = max(1, self._slots + _EXTRA_PLACES - unlent)
         return self._admit(now)
 
     def expire(self, now: float) -> list[Decision]:
@@ -179,43 +184,43 @@
         for ticket in overdue:
             del self._lent[ticket]
             self._queue.finish(None)
-        rested = self._bounded and bool(self._waiting)
-        return self._admit(now) if overdue or rested else []
+        waits_for_limit = self._is_limited and bool(self._waiting)
+        return self._admit(now) if overdue or waits_for_limit else []
 
     @property
-    def _bounded(self) -> bool:
+    def _is_limited(self) -> bool:
         return self._cold_bound is not None or self.rate is not None
 
-    def _find_rest(self, ahead: int, now: float) -> float:
-        """Return for how long the upstream may be sent nothing more."""
-        rest = self._bucket.find_wait(ahead, now)
+    def _find_limit_wait(self, ahead: int, now: float) -> float:
+        """Return the seconds until the limits allow another send."""
+        limit_wait = self._bucket.find_wait(ahead, now)
         if self._cold_bound is None:
-            return rest
+            return limit_wait
         cold = self._recent.find_wait(self._cold_bound, ahead, now)
-        return max(rest, min(_LONGEST_REST, cold))
+        return max(limit_wait, min(_MAX_COLD_WAIT, cold))
 
     @property
     def rate(self) -> float | None:
-        """Limit of the upstream, in requests a second."""
+        """Limit stated by the upstream, in requests per second."""
         return self._bucket.rate
 
     def find_opening(self, now: float) -> float | None:
-        """Return after how long a bound lets one more through.
+        """Return the seconds until the limits allow another send.
 
         Returns
         -------
         float or None
-            None when nobody waits for that.
+            None when no request waits for a limit.
         """
-        if not self._waiting or not self._bounded:
+        if not self._waiting or not self._is_limited:
             return None
-        rest = self._find_rest(0, now)
-        return rest if rest > 0.0 else None
+        limit_wait = self._find_limit_wait(0, now)
+        return limit_wait if limit_wait > 0.0 else None
 
     def _admit(self, now: float) -> list[Decision]:
         decisions = []
-        loan = max(_LEAST_LOAN, _LOAN_TIMES * self._queue.service_time)
-        while self._find_rest(0, now) <= 0.0:
+        loan = max(_MIN_LOAN, _LOAN_FACTOR * self._queue.service_time)
+        while self._find_limit_wait(0, now) <= 0.0:
             ticket, expired = self._queue.take(now)
             for each in expired:
                 del self._waiting[each]
@@ -236,15 +241,15 @@
 
 
 class Lender:
-    """Queues of all upstreams whose places one host lends.
+    """Queues of the upstreams whose places one host lends.
 
-    The most urgent request of all hosts goes first, then the one whose
-    answer is needed soonest. One that would have to wait too long is
-    refused at once, with the time after which asking again makes sense.
+    Requests of all hosts are admitted by priority, then by deadline. A
+    request that would have to wait too long is refused at once, with the
+    time after which a retry makes sense.
     """
 
     def __init__(self) -> None:
-        self._places: dict[IncarnationName, _Places] = {}
+        self._places: dict[IncarnationName, _UpstreamPlaces] = {}
         self._upstreams: dict[Ticket, IncarnationName] = {}
 
     def ask(
@@ -258,41 +263,41 @@
         cold_bound: int | None = None,
         limit: StatedLimit | None = None,
     ) -> list[Decision]:
-        """Take in a request for a place.
+        """Handle a request for a place.
 
         Parameters
         ----------
         ticket : Ticket
-            Who asks.
+            Request that needs the place.
         upstream : IncarnationName
-            Where.
+            Upstream to which it is to be sent.
         slots : int
-            Requests that the upstream works on at a time.
+            Number of requests that the upstream runs concurrently.
         priority : int
             Lower is more urgent.
         left : float
             Seconds within which the answer is needed.
         now : float
-            Own clock.
+            Current monotonic time in seconds.
         cold_bound : int or None
-            Most sends to allow while the upstream is cold; None when it is
-            warm.
+            Maximum number of sends per window to a cold upstream; None when
+            it is warm.
         limit : StatedLimit or None
-            What the asking host has heard of the upstream's limit, by the
-            own clock; None when it has heard of none.
+            Limit of the upstream as known to the requesting host, in local
+            monotonic time; None when it knows of none.
 
         Returns
         -------
         list of Decision
-            For this ticket, and for others that it affects.
+            Decisions on this ticket and on others that it affects.
         """
         decisions = self.end(ticket, None, 0, now)
         places = self._places.get(upstream)
         if places is None:
-            places = self._places[upstream] = _Places(slots)
+            places = self._places[upstream] = _UpstreamPlaces(slots)
         self._upstreams[ticket] = upstream
         decisions += places.ask(ticket, priority, left, now, cold_bound, limit)
-        return self._settle(decisions)
+        return self._drop_refused(decisions)
 
     def end(
         self,
@@ -302,21 +307,21 @@
         now: float,
         said: StatedLimit | None = None,
     ) -> list[Decision]:
-        """Take in that a place is given back or no longer waited for.
+        """Handle the return of a place, or the end of the wait for one.
 
         Parameters
         ----------
         ticket : Ticket
-            Whose; one that is not known changes nothing.
+            Ticket of the request; unknown ones are ignored.
         seconds : float or None
-            How long the upstream took; None when it gave no answer.
+            Service time of the request; None when it got no answer.
         waiting : int
-            Requests that wait at the upstream itself, as it said.
+            Number of requests queued at the upstream, as it reported.
         now : float
-            Own clock.
+            Current monotonic time in seconds.
         said : StatedLimit or None
-            What its answer said of the upstream's limit, by the own clock;
-            None without an answer.
+            Limit stated in the answer, in local monotonic time; None without
+            an answer.
         """
         upstream = self._upstreams.pop(ticket, None)
         if upstream is None:
@@ -326,15 +331,15 @@
         if said is not None:
             decisions += places.note_limit(said, now)
         decisions += places.end(ticket, seconds, waiting, now)
-        return self._settle(decisions)
+        return self._drop_refused(decisions)
 
     def find_opening(self, now: float) -> float | None:
-        """Return after how long a bound lets a waiting request through.
+        """Return the seconds until a limit admits a waiting request.
 
         Returns
         -------
         float or None
-            None when none waits for that.
+            None when no request waits for a limit.
         """
         openings = [
             places.find_opening(now) for places in self._places.values()
@@ -344,31 +349,32 @@
         )
 
     def expire(self, now: float) -> list[Decision]:
-        """Take back places whose holders were lost; forget idle queues."""
+        """Reclaim the places of lost holders and remove idle queues."""
         decisions = []
         for name, places in list(self._places.items()):
             decisions += places.expire(now)
-            if places.idle and now - places.used_at > _FORGOTTEN_AFTER:
+            if places.idle and now - places.used_at > _IDLE_EXPIRY:
                 del self._places[name]
         self._upstreams = {
             ticket: name
             for ticket, name in self._upstreams.items()
             if name in self._places
         }
-        return self._settle(decisions)
+        return self._drop_refused(decisions)
 
     def list_limits(self, now: float) -> dict[IncarnationName, float]:
-        """Return the limits of upstreams that are asked for just now.
+        """Return the limits of upstreams with recent requests.
 
-        In requests a second.
+        Limits are in requests per second.
         """
         return {
             name: places.rate
             for name, places in self._places.items()
-            if places.rate is not None and now - places.used_at < _ASKED_FOR
+            if places.rate is not None
+            and now - places.used_at < _ACTIVE_SECONDS
         }
 
-    def _settle(self, decisions: list[Decision]) -> list[Decision]:
+    def _drop_refused(self, decisions: list[Decision]) -> list[Decision]:
         for each in decisions:
             if each.verdict is Verdict.REFUSED:
                 self._upstreams.pop(each.ticket, None)
--- a/sedgetide/core/requests/pushback.py
+++ b/sedgetide/core/requests/pushback.py
@@ -1,4 +1,4 @@
-"""What an upstream asks of those who send to it, in its answers."""
+"""Backpressure signalled by upstreams in their answers."""
 
 from collections.abc import Collection
 
@@ -6,25 +6,26 @@
 
 from sedgetide.core.identifiers import IncarnationName
 
-# Upstreams whose backoffs are remembered; one that is over is forgotten first.
-_MOST_KEPT = 4000
+# Upstreams whose backoffs are kept; expired ones are evicted first.
+_MAX_KEPT = 4000
 
 
 class Pushback(msgspec.Struct, frozen=True):
-    """What one answer says of the upstream that wrote it.
+    """Backpressure that an upstream signals with one answer.
 
     Parameters
     ----------
     limit : float or None
-        Requests a second that it takes from all hosts together; None when
-        it names no limit.
+        Requests per second that it accepts from all hosts together; None
+        when it states no limit.
     leaving : bool
-        Whether it is about to end.
+        Whether it is about to shut down.
     backoff : float or None
-        Seconds for which it wants nothing from the host that it turned
-        away; None when it did not ask for that.
+        Seconds for which the host that it refused should send nothing; None
+        when not requested.
     problems : tuple of str
-        What could not be read, and what is accepted instead.
+        Descriptions of values that could not be parsed, with the accepted
+        form.
     """
 
     limit: float | None = None
@@ -34,7 +35,7 @@
 
 
 class Backoffs:
-    """Times for which upstreams want nothing from this host."""
+    """Backoff periods during which this host sends nothing to an upstream."""
 
     def __init__(self) -> None:
         self._until: dict[IncarnationName, float] = {}
@@ -42,42 +43,39 @@
     def note(
         self, upstream: IncarnationName, seconds: float, now: float
     ) -> bool:
-        """Take in that an upstream asks to be left alone from now on.
+        """Record that an upstream requests a backoff from now on.
 
-        A shorter time does not end a longer one: each was asked for, and
-        nobody can tell in which order.
+        A shorter backoff does not end a longer one, because the order in
+        which they were requested is unknown.
 
         Returns
         -------
         bool
-            Whether none went on before.
+            Whether no backoff was active before.
         """
         before = self._until.get(upstream, now)
         self._until[upstream] = max(before, now + seconds)
-        if len(self._until) > _MOST_KEPT:
-            self._forget(now)
+        if len(self._until) > _MAX_KEPT:
+            self._evict(now)
         return before <= now
 
-    def _forget(self, now: float) -> None:
+    def _evict(self, now: float) -> None:
         ending = sorted(self._until.items(), key=lambda each: each[1])
         kept = [each for each in ending if each[1] > now]
-        self._until = dict(kept[-_MOST_KEPT:])
+        self._until = dict(kept[-_MAX_KEPT:])
 
     def find_remaining(self, upstream: IncarnationName, now: float) -> float:
-        """Return the seconds that are left; zero when there are none."""
+        """Return the remaining seconds of a backoff; zero without one."""
         return max(0.0, self._until.get(upstream, now) - now)
 
     def list_active(self, now: float) -> set[IncarnationName]:
-        """Return the upstreams that want nothing at present."""
+        """Return the upstreams with an active backoff."""
         return {name for name, end in self._until.items() if end > now}
 
     def find_shortest(
         self, upstreams: Collection[IncarnationName], now: float
     ) -> float:
-        """Return when the first of some upstreams may be sent to again.
-
-        In seconds.
-        """
+        """Return the shortest remaining backoff of upstreams, in seconds."""
         return min(
             (self.find_remaining(each, now) for each in upstreams), default=0.0
         )
--- a/sedgetide/core/requests/quarantine.py
+++ b/sedgetide/core/requests/quarantine.py
@@ -1,20 +1,22 @@
-"""Requests that end every upstream that runs them, and are run no more.
-
-The load that this answers: a caller repeats a request that crashes whoever
-runs it. Each loss takes an upstream's other requests with it and leaves its
-keys dark for seconds, and the next owner of the key is lost the same way.
-
-A loss is blamed on all that the upstream had and that has not ended well
-since; the more there were, the less it says of each. From the first one on a
-request runs one copy at a time, and after the second no other such request
-runs beside it (see trials.py), so that the third says enough. A request that
-three losses or more speak against is refused for a time. After it, one run
-is a trial: if it ends well the request is cleared, if it ends its upstream
-the next time is twice as long.
-
-Times are those of the own clock. Copies on several hosts become alike by
-:meth:`Quarantine.merge`, whatever was lost on the way: losses and clearances
-are only ever added, and a clearance goes before older losses.
+"""Quarantine of requests that crash every upstream that runs them.
+
+This guards against a caller that repeats a request which crashes its
+upstream. Each crash (a loss) also fails the other requests of the upstream
+and leaves its keys without an owner for seconds, and the next owner of the
+key crashes the same way.
+
+A loss is blamed on all requests that the upstream was running, except those
+that have succeeded since; the more there were, the lower the share of each.
+After its first loss a request runs one copy at a time, and after its second
+no other such request runs beside it (see trials.py), so that the third loss
+is conclusive. A request that is blamed for three or more losses is refused
+for a period, its stay. After the stay, one run is allowed as a trial: if it
+succeeds the request is cleared; if the upstream crashes again, the next stay
+is twice as long.
+
+Times are local monotonic times. The copies of several hosts converge by
+:meth:`Quarantine.merge` even if messages are lost: losses and clearances are
+only ever added, and a clearance overrides older losses.
 """
 
 from collections.abc import Iterable
@@ -25,53 +27,54 @@
 from sedgetide.core.identifiers import Fingerprint
 from sedgetide.core.identifiers import IncarnationName
 
-# With two slots an upstream an innocent request is beside a deadly one once or
-# twice by chance; each loss more costs an upstream.
-_LEAST_LOSSES = 3
-# Sum of what the losses say, where none of them was a run without other
-# suspects. Alone in each, a request is held after three losses, beside one
-# other in each after four, beside more after five: two sends more than three,
-# where an operator bears three.
-_LEAST_BLAME = 2.0
-_LEAST_SHARE = 0.4
-# From here on the host does not send a request again by itself: its caller
-# may, which leaves time for a word from other hosts.
+# With two slots per upstream, an innocent request runs beside a crashing one
+# once or twice by chance; each further loss costs another upstream.
+_MIN_LOSSES = 3
+# Required sum of the blame shares, if the request was not the only strong
+# suspect of any loss. A request that was alone in each loss is quarantined
+# after three losses, beside one other after four, and beside more after five.
+# That is two sends more than three; operators accept three more.
+_MIN_BLAME = 2.0
+_MIN_BLAME_SHARE = 0.4
+# From this number of losses on, the host does not retry a request itself. The
+# caller may, which leaves time for reports from other hosts to arrive.
 _LOSSES_WITHOUT_RETRY = 2
-# Seconds; a caller that comes again comes within minutes.
-_REMEMBERED = 600.0
-# Seconds. Callers who poll come each few seconds: a deadly request then costs
-# one upstream in five minutes, and one that is held wrongly is served again
-# after a time that people bear.
+# Seconds; a caller that retries does so within minutes.
+_LOSS_RETENTION = 600.0
+# Seconds. Polling callers retry every few seconds: a crashing request then
+# costs one upstream in five minutes, and a request quarantined by mistake is
+# served again after an acceptable time.
 _FIRST_STAY = 300.0
-_LONGEST_STAY = 3600.0
-# Enough for the longest stay.
-_MOST_DOUBLINGS = 4
-# Seconds after its end for which a stay counts towards the next.
-_STAY_REMEMBERED = 3600.0
-# A loss blames at most what an upstream works on and queues. With these a
-# report of all is under 200 KB, and an ordinary one some hundred bytes.
-_MOST_LOSSES = 128
-_MOST_SUSPECTS = 32
-_MOST_CLEARED = 512
-# More than these, with those of the last hour, are no requests to blame but a
-# release that crashes on everything; refusing its callers' repeats would
-# outlast its rollback.
-_MOST_STAYS = 64
+_MAX_STAY = 3600.0
+# Enough to reach the longest stay.
+_MAX_DOUBLINGS = 4
+# Seconds after the end of a stay for which it still lengthens the next one.
+_STAY_RETENTION = 3600.0
+# A loss involves at most the requests that an upstream runs and queues. With
+# these limits a full report is under 200 KB; a typical one is a few hundred
+# bytes.
+_MAX_LOSSES = 128
+_MAX_SUSPECTS_PER_LOSS = 32
+_MAX_CLEARANCES = 512
+# More stays than this, including those of the last hour, indicate a release
+# that crashes on every request. Refusing the requests of its callers would
+# continue after its rollback.
+_MAX_STAYS = 64
 
 
 class Loss(msgspec.Struct, array_like=True):
-    """An upstream that ended, and what it had that is not cleared.
+    """An upstream that crashed, and its requests that are not cleared.
 
     Parameters
     ----------
     upstream : IncarnationName
-        Which start of which upstream.
+        Incarnation that crashed.
     at : float
-        When. In a report: seconds before it.
+        Time of the crash; in a report, its age in seconds.
     suspects : set of Fingerprint
-        Requests that it had.
+        Requests that it was running.
     alone : set of Fingerprint
-        Those of them that ran while no other grave suspect did.
+        Suspects that ran while no other strong suspect did.
     """
 
     upstream: IncarnationName
@@ -81,16 +84,16 @@
 
 
 class Stay(msgspec.Struct, array_like=True, frozen=True):
-    """A time for which a request is refused.
+    """A quarantine period, during which a request is refused.
 
     Parameters
     ----------
     fingerprint : Fingerprint
-        Which request.
+        Request that is refused.
     at : float
-        When it began. In a report: seconds before it.
+        Start of the period; in a report, its age in seconds.
     number : int
-        One for the first, two for the one after a failed trial.
+        One for the first stay; one higher after each failed trial.
     """
 
     fingerprint: Fingerprint
@@ -99,25 +102,25 @@
 
     @property
     def seconds(self) -> float:
-        """Length of the stay."""
-        doublings = min(_MOST_DOUBLINGS, max(0, self.number - 1))
-        return min(_LONGEST_STAY, _FIRST_STAY * 2**doublings)
+        """Length of the stay in seconds."""
+        doublings = min(_MAX_DOUBLINGS, max(0, self.number - 1))
+        return min(_MAX_STAY, _FIRST_STAY * 2**doublings)
 
     @property
     def until(self) -> float:
-        """When it ends."""
+        """Time at which the stay ends."""
         return self.at + self.seconds
 
 
 class Clearance(msgspec.Struct, array_like=True, frozen=True):
-    """Word that a request has ended well, or that an operator lets it go.
+    """Records that a request succeeded or was released by an operator.
 
     Parameters
     ----------
     fingerprint : Fingerprint
-        Which request.
+        Request that is cleared.
     at : float
-        When. In a report: seconds before it.
+        Time of the clearance; in a report, its age in seconds.
     """
 
     fingerprint: Fingerprint
@@ -125,7 +128,7 @@
 
 
 class QuarantineReport(msgspec.Struct, array_like=True):
-    """All that one host knows, with ages in place of times."""
+    """Quarantine state of one host, with ages instead of times."""
 
     losses: list[Loss] = []
     stays: list[Stay] = []
@@ -133,16 +136,16 @@
 
 
 class RecordedStay(msgspec.Struct, frozen=True):
-    """A stay as it lies in the store.
+    """A stay as recorded in the store.
 
     Parameters
     ----------
     fingerprint : Fingerprint
-        Which request.
+        Request that is refused.
     number : int
-        One for the first, more for those after failed trials.
+        One for the first stay; one higher after each failed trial.
     left : float
-        Seconds that were left of it when it was written.
+        Seconds that remained when the record was written.
     """
 
     fingerprint: Fingerprint
@@ -151,14 +154,14 @@
 
 
 class RecordedLoss(msgspec.Struct, frozen=True):
-    """An upstream that ended, as it lies in the store.
+    """A loss as recorded in the store.
 
     Parameters
     ----------
     upstream : IncarnationName
-        Which start of which upstream.
+        Incarnation that crashed.
     age : float
-        Seconds since its end when it was written.
+        Age of the loss in seconds when the record was written.
     suspects, alone : frozenset of Fingerprint
         As in :class:`Loss`.
     """
@@ -170,19 +173,19 @@
 
 
 class QuarantineRecord(msgspec.Struct, frozen=True):
-    """What the leader wrote down: stays, and losses that blame somebody."""
+    """Stays and losses with suspects, as written by the leader."""
 
     stays: tuple[RecordedStay, ...] = ()
     losses: tuple[RecordedLoss, ...] = ()
 
     def covers(self, other: "QuarantineRecord") -> bool:
-        """Tell whether nothing of another record is missing here."""
+        """Return whether this record contains all of another one."""
         stays, losses = _list_content(self)
         other_stays, other_losses = _list_content(other)
         return other_stays <= stays and other_losses <= losses
 
     def has_same_content(self, other: "QuarantineRecord") -> bool:
-        """Tell whether both say the same, whenever they were written."""
+        """Return whether both records are equal apart from their age."""
         return _list_content(self) == _list_content(other)
 
 
@@ -197,10 +200,10 @@
 
 
 class Quarantine:
-    """What is known of requests under which upstreams ended."""
+    """Losses, stays and clearances of requests known to one host."""
 
     def __init__(self) -> None:
-        # Also those that blame nobody any more: word of them may come again.
+        # Includes losses without suspects, which may be reported again.
         self._losses: dict[IncarnationName, Loss] = {}
         self._stays: dict[Fingerprint, Stay] = {}
         self._cleared: dict[Fingerprint, float] = {}
@@ -209,49 +212,50 @@
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is known against any request."""
+        """Whether no request is suspected or refused."""
         return not self._suspects and not self._stays
 
     def find_stay_left(self, fingerprint: Fingerprint, now: float) -> float:
-        """Return for how many seconds a request is refused still."""
+        """Return the remaining seconds for which a request is refused."""
         stay = self._stays.get(fingerprint)
         return 0.0 if stay is None else max(0.0, stay.until - now)
 
     def is_suspect(self, fingerprint: Fingerprint) -> bool:
-        """Tell whether upstreams have ended under a request.
+        """Return whether upstreams have crashed while running a request.
 
-        Also after a stay, whose losses may be forgotten before it ends.
+        A request with a stay remains a suspect, because its losses may expire
+        before the stay ends.
         """
         return fingerprint in self._suspects or fingerprint in self._stays
 
     def is_strong_suspect(self, fingerprint: Fingerprint) -> bool:
-        """Tell whether one more loss may decide about a request."""
+        """Return whether one more loss may quarantine a request."""
         if fingerprint in self._stays:
             return True
-        return self._count_losses(fingerprint) >= _LEAST_LOSSES - 1
+        return self._count_losses(fingerprint) >= _MIN_LOSSES - 1
 
     def may_retry(self, fingerprint: Fingerprint) -> bool:
-        """Tell whether a host may send a request again by itself."""
+        """Return whether a host may retry a request by itself."""
         if fingerprint not in self._suspects:
             return True
         return self._count_losses(fingerprint) < _LOSSES_WITHOUT_RETRY
 
     def list_stays(self, now: float) -> list[Stay]:
-        """Return the stays that go on, in the order of fingerprints."""
+        """Return the active stays, ordered by fingerprint."""
         stays = [each for each in self._stays.values() if each.until > now]
         return sorted(stays, key=lambda each: each.fingerprint)
 
     @property
     def version(self) -> int:
-        """Number that equal contents have in common; zero for none.
+        """Hash of the contents; zero when empty.
 
-        Without times: each host reads them off its own clock.
+        Times are excluded, because they differ between the clocks of hosts.
         """
         if self._version is None:
-            self._version = self._find_version()
+            self._version = self._compute_version()
         return self._version
 
-    def _find_version(self) -> int:
+    def _compute_version(self) -> int:
         losses = [
             (each.upstream, sorted(each.suspects), sorted(each.alone))
             for each in self._losses.values()
@@ -265,7 +269,7 @@
             return 0
         return xxhash.xxh32_intdigest(msgspec.msgpack.encode(content)) or 1
 
-    # What is seen
+    # Local observations
 
     def note_loss(
         self,
@@ -275,39 +279,39 @@
         now: float,
         alone: Iterable[Fingerprint] = (),
     ) -> bool:
-        """Take in that an upstream ended; return whether that was news.
+        """Record that an upstream crashed; return whether that was new.
 
         Parameters
         ----------
         upstream : IncarnationName
-            Which start of which upstream.
+            Incarnation that crashed.
         suspects : iterable of Fingerprint
-            Requests that it had then.
+            Requests that it was running.
         at, now : float
-            When it ended, and the present time.
+            Time of the crash, and current monotonic time, in seconds.
         alone : iterable of Fingerprint
-            Those of them that ran while no other grave suspect did.
+            Suspects that ran while no other strong suspect did.
         """
-        if now - at > _REMEMBERED:
+        if now - at > _LOSS_RETENTION:
             return False
-        known = self._find_loss(upstream, at)
-        blamed = self._list_blamed(suspects, known.at)
-        room = _MOST_SUSPECTS - len(known.suspects)
-        news = sorted(blamed - known.suspects)[:room]
-        known.suspects.update(news)
-        self._suspects.update(news)
-        told = known.suspects.intersection(alone) - known.alone
-        known.alone.update(told)
-        for each in told.union(news):
-            self._judge(each, now)
+        known = self._get_or_add_loss(upstream, at)
+        blamed = self._exclude_cleared(suspects, known.at)
+        room = _MAX_SUSPECTS_PER_LOSS - len(known.suspects)
+        new_suspects = sorted(blamed - known.suspects)[:room]
+        known.suspects.update(new_suspects)
+        self._suspects.update(new_suspects)
+        newly_alone = known.suspects.intersection(alone) - known.alone
+        known.alone.update(newly_alone)
+        for each in newly_alone.union(new_suspects):
+            self._update_stay(each, now)
         self._version = None
-        return bool(news or told)
+        return bool(new_suspects or newly_alone)
 
     def note_end(self, fingerprint: Fingerprint, now: float) -> bool:
-        """Take in that a run has ended well; return whether that was news.
+        """Record that a run succeeded; return whether that changed anything.
 
-        A request that ends each upstream that runs it never ends well, so
-        one whole answer clears it of all before.
+        A request that crashes every upstream never succeeds, so one complete
+        answer clears it of all earlier losses.
         """
         if fingerprint not in self._suspects and (
             fingerprint not in self._stays
@@ -319,7 +323,7 @@
 
     def _clear(self, fingerprint: Fingerprint, at: float, now: float) -> None:
         self._cleared[fingerprint] = at
-        while len(self._cleared) > _MOST_CLEARED:
+        while len(self._cleared) > _MAX_CLEARANCES:
             del self._cleared[min(self._cleared, key=self._cleared.get)]
         stay = self._stays.get(fingerprint)
         if stay is not None and stay.at <= at:
@@ -330,60 +334,60 @@
                 loss.suspects.discard(fingerprint)
                 loss.alone.discard(fingerprint)
                 beside |= loss.suspects
-        self._note_suspects()
+        self._rebuild_suspects()
         for each in beside:
-            # Its share of the blame is theirs now.
-            self._judge(each, now)
+            # The remaining suspects now share its part of the blame.
+            self._update_stay(each, now)
 
     def expire(self, now: float) -> None:
-        """Forget what is too old."""
+        """Remove expired entries."""
         before = len(self._losses), len(self._stays), len(self._cleared)
         self._losses = {
             each.upstream: each
             for each in self._losses.values()
-            if now - each.at <= _REMEMBERED
+            if now - each.at <= _LOSS_RETENTION
         }
         self._stays = {
             each.fingerprint: each
             for each in self._stays.values()
-            if now - each.until <= _STAY_REMEMBERED
+            if now - each.until <= _STAY_RETENTION
         }
         self._cleared = {
             fingerprint: at
             for fingerprint, at in self._cleared.items()
-            if now - at <= _STAY_REMEMBERED
+            if now - at <= _STAY_RETENTION
         }
         after = len(self._losses), len(self._stays), len(self._cleared)
         if after != before:
             self._version = None
-            self._note_suspects()
+            self._rebuild_suspects()
 
-    def _note_suspects(self) -> None:
+    def _rebuild_suspects(self) -> None:
         self._suspects = {
             suspect
             for loss in self._losses.values()
             for suspect in loss.suspects
         }
 
-    # What follows
+    # Decisions
 
-    def _judge(self, fingerprint: Fingerprint, now: float) -> None:
+    def _update_stay(self, fingerprint: Fingerprint, now: float) -> None:
         former = self._stays.get(fingerprint)
         if former is not None:
             if self._has_failed_trial(former):
                 stay = Stay(fingerprint, now, former.number + 1)
                 self._stays[fingerprint] = stay
             return
-        if self._count_losses(fingerprint) < _LEAST_LOSSES:
+        if self._count_losses(fingerprint) < _MIN_LOSSES:
             return
-        sure = self._find_blame(fingerprint) >= _LEAST_BLAME
+        sure = self._sum_blame(fingerprint) >= _MIN_BLAME
         if sure or self._ran_alone(fingerprint):
             self._add_stay(Stay(fingerprint, now, 1))
 
     def _ran_alone(self, fingerprint: Fingerprint) -> bool:
-        """Tell whether a loss blames a request more than all beside it.
+        """Return whether a request was the only strong suspect of a loss.
 
-        They had not been at two lost upstreams before, and it had.
+        The other suspects of that loss did not have two earlier losses.
         """
         return any(fingerprint in each.alone for each in self._losses.values())
 
@@ -398,52 +402,53 @@
             1 for each in self._losses.values() if fingerprint in each.suspects
         )
 
-    def _find_blame(self, fingerprint: Fingerprint) -> float:
+    def _sum_blame(self, fingerprint: Fingerprint) -> float:
         return sum(
-            max(_LEAST_SHARE, 1 / len(each.suspects))
+            max(_MIN_BLAME_SHARE, 1 / len(each.suspects))
             for each in self._losses.values()
             if fingerprint in each.suspects
         )
 
     def _add_stay(self, stay: Stay) -> None:
         known = stay.fingerprint in self._stays
-        if known or len(self._stays) < _MOST_STAYS:
+        if known or len(self._stays) < _MAX_STAYS:
             self._stays[stay.fingerprint] = stay
 
-    def _find_loss(self, upstream: IncarnationName, at: float) -> Loss:
-        """Return a loss, which hosts see and hear of at different times.
+    def _get_or_add_loss(self, upstream: IncarnationName, at: float) -> Loss:
+        """Return the loss of an incarnation, adding it if necessary.
 
-        Each start of an upstream ends once. A word of it that was held up,
-        in a frozen host or by a cut, seems younger than it is; the earliest
-        is right.
+        Hosts observe a loss and hear of it at different times, but each
+        incarnation ends only once. A report delayed by a frozen host or a
+        network partition makes the loss appear younger than it is, so the
+        earliest time is kept.
         """
         known = self._losses.get(upstream)
         if known is None:
             known = self._losses[upstream] = Loss(upstream, at, set())
-            if len(self._losses) > _MOST_LOSSES:
+            if len(self._losses) > _MAX_LOSSES:
                 del self._losses[next(iter(self._losses))]
-                self._note_suspects()
+                self._rebuild_suspects()
         if at < known.at:
             known.at = at
-            known.suspects = self._list_blamed(known.suspects, at)
+            known.suspects = self._exclude_cleared(known.suspects, at)
             known.alone &= known.suspects
-            self._note_suspects()
+            self._rebuild_suspects()
         return known
 
-    def _list_blamed(
+    def _exclude_cleared(
         self, suspects: Iterable[Fingerprint], at: float
     ) -> set[Fingerprint]:
-        """Return those that have not been cleared since a time."""
+        """Return the suspects that have not been cleared since a time."""
         return {
             each
             for each in suspects
             if self._cleared.get(each, float("-inf")) < at
         }
 
-    # Copies on other hosts
+    # Replication between hosts
 
     def report(self, now: float) -> QuarantineReport:
-        """Return all that is known, for another host."""
+        """Return the complete state for another host."""
         return QuarantineReport(
             [
                 Loss(
@@ -462,11 +467,11 @@
         )
 
     def merge(self, report: QuarantineReport, now: float) -> bool:
-        """Take in another host's report; return whether it brought news."""
+        """Merge the report of another host; return whether it was new."""
         before = self.version
         for clearance in report.clearances:
             at = now - clearance.at
-            if clearance.at > _STAY_REMEMBERED:
+            if clearance.at > _STAY_RETENTION:
                 continue
             if at > self._cleared.get(clearance.fingerprint, float("-inf")):
                 self._clear(clearance.fingerprint, at, now)
@@ -482,7 +487,7 @@
         return self.version != before
 
     def record(self, now: float) -> QuarantineRecord:
-        """Return what the store should hold."""
+        """Return the record to write to the store."""
         stays = tuple(
             RecordedStay(each.fingerprint, each.number, each.until - now)
             for each in self.list_stays(now)
@@ -500,10 +505,10 @@
         return QuarantineRecord(stays, losses)
 
     def take_record(self, record: QuarantineRecord, now: float) -> None:
-        """Take in what the store holds, after a start or from a leader.
+        """Merge the record of the store, after a start or from a leader.
 
-        No clock is common to all hosts, so what was left counts from now;
-        hosts that know better correct it.
+        Hosts have no common clock, so the remaining time of a stay counts
+        from now. Hosts with more accurate times correct it.
         """
         for each in record.stays:
             stay = Stay(each.fingerprint, now, each.number)
@@ -519,12 +524,13 @@
 
     def _merge_stay(self, stay: Stay, now: float) -> None:
         cleared_at = self._cleared.get(stay.fingerprint, float("-inf"))
-        if stay.at <= cleared_at or now - stay.until > _STAY_REMEMBERED:
+        if stay.at <= cleared_at or now - stay.until > _STAY_RETENTION:
             return
         known = self._stays.get(stay.fingerprint)
         if known is None or stay.number > known.number:
             self._add_stay(stay)
         elif stay.number == known.number and stay.at < known.at:
-            # Whoever read it from the store at its start counts from then;
-            # others know better, and no restart makes a stay longer.
+            # A host that has read the stay from the store counts from then.
+            # The earlier time of other hosts is accurate, so that a restart
+            # never makes a stay longer.
             self._stays[stay.fingerprint] = stay
--- a/sedgetide/core/requests/queues.py
+++ b/sedgetide/core/requests/queues.py
@@ -1,4 +1,4 @@
-"""The queue of one upstream: slots, priority, deadlines, a bound."""
+"""Bounded priority queue of the requests for one upstream."""
 
 import heapq
 import itertools
@@ -11,25 +11,25 @@
 
 ItemT = TypeVar("ItemT")
 
-_SERVICE_TIME_GAIN = 0.1
+_SMOOTHING = 0.1
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """A request turned away before it was queued.
+    """Refusal of a request that was not queued.
 
     Parameters
     ----------
     reason : Reason
-        Why.
+        Reason of the refusal.
     retry_after : float
-        Seconds after which asking again makes sense.
+        Seconds after which a retry makes sense.
     """
 
     reason: Reason
     retry_after: float
 
 
-class _Ticket(msgspec.Struct, Generic[ItemT], order=True):
+class _QueueEntry(msgspec.Struct, Generic[ItemT], order=True):
     priority: int
     deadline: float
     number: int
@@ -37,24 +37,24 @@
 
 
 class UpstreamQueue(Generic[ItemT]):
-    """Requests that wait for one of an upstream's slots.
+    """Requests that wait for a slot of an upstream.
 
-    Order: priority class, then deadline, then arrival.
+    They are ordered by priority, then deadline, then arrival.
 
     Parameters
     ----------
     slots : int
-        Requests the upstream works on at a time.
+        Number of requests that the upstream runs concurrently.
     bound : int
-        Requests that may wait.
+        Maximum number of waiting requests.
     first_estimate : float
-        Service time in seconds assumed before any was seen.
+        Service time in seconds assumed before the first answer.
     """
 
     def __init__(self, slots: int, bound: int, first_estimate: float) -> None:
         self.slots = slots
         self._bound = bound
-        self._heap: list[_Ticket[ItemT]] = []
+        self._heap: list[_QueueEntry[ItemT]] = []
         self._numbers = itertools.count()
         self._running = 0
         self.service_time = first_estimate
@@ -68,13 +68,13 @@
         return self._running
 
     def count_ahead(self, priority: int) -> int:
-        """Return how many wait that go before a newcomer."""
+        """Return how many waiting requests go before a new one."""
         return sum(1 for each in self._heap if each.priority <= priority)
 
     def estimate_wait(self, priority: int) -> float:
-        """Return the expected wait in seconds of a newcomer.
+        """Return the expected wait of a new request in seconds.
 
-        Only requests of its own class or a more urgent one come first.
+        Only requests of the same or a more urgent priority go first.
         """
         ahead = self.count_ahead(priority)
         if ahead == 0 and self._running < self.slots:
@@ -89,13 +89,13 @@
         Parameters
         ----------
         item : object
-            The request.
+            Request to queue.
         priority : int
             Lower is more urgent.
         deadline : float
-            Own clock time by which the answer is needed.
+            Monotonic time by which the answer is needed.
         now : float
-            Own clock.
+            Current monotonic time in seconds.
 
         Returns
         -------
@@ -109,8 +109,8 @@
         wait = self.estimate_wait(priority)
         if now + wait + self.service_time > deadline:
             return Refusal(Reason.OVERLOAD, max(wait, self.service_time))
-        ticket = _Ticket(priority, deadline, next(self._numbers), item)
-        heapq.heappush(self._heap, ticket)
+        entry = _QueueEntry(priority, deadline, next(self._numbers), item)
+        heapq.heappush(self._heap, entry)
         return None
 
     def take(self, now: float) -> tuple[ItemT | None, list[ItemT]]:
@@ -119,18 +119,18 @@
         Returns
         -------
         item : object or None
-            Request to run; None when no slot is free or nothing waits.
+            Request to run; None when no slot is free or the queue is empty.
         expired : list
-            Requests whose deadline passed while they waited.
+            Requests whose deadline passed while waiting.
         """
         expired: list[ItemT] = []
         while self._heap and self._running < self.slots:
-            ticket = heapq.heappop(self._heap)
-            if ticket.deadline <= now:
-                expired.append(ticket.item)
+            entry = heapq.heappop(self._heap)
+            if entry.deadline <= now:
+                expired.append(entry.item)
                 continue
             self._running += 1
-            return ticket.item, expired
+            return entry.item, expired
         return None, expired
 
     def finish(self, service_time: float | None) -> None:
@@ -139,15 +139,15 @@
         Parameters
         ----------
         service_time : float or None
-            Seconds the upstream took; None when it gave no answer.
+            Service time in seconds; None when there was no answer.
         """
         self._running -= 1
         if service_time is not None:
-            gain = _SERVICE_TIME_GAIN
-            self.service_time += gain * (service_time - self.service_time)
+            smoothing = _SMOOTHING
+            self.service_time += smoothing * (service_time - self.service_time)
 
     def remove_expired(self, now: float) -> list[ItemT]:
-        """Take out the requests whose deadline has passed."""
+        """Remove and return the requests whose deadline has passed."""
         expired = [each.item for each in self._heap if each.deadline <= now]
         if expired:
             self._heap = [each for each in self._heap if each.deadline > now]
@@ -155,16 +155,16 @@
         return expired
 
     def remove(self, item: ItemT) -> bool:
-        """Take out one request; return False when it no longer waits."""
-        for index, ticket in enumerate(self._heap):
-            if ticket.item is item:
+        """Remove a request; return False when it is not queued."""
+        for index, entry in enumerate(self._heap):
+            if entry.item is item:
                 del self._heap[index]
                 heapq.heapify(self._heap)
                 return True
         return False
 
     def clear(self) -> list[ItemT]:
-        """Take out all waiting requests."""
+        """Remove and return all waiting requests."""
         items = [each.item for each in self._heap]
         self._heap.clear()
         return items
--- a/sedgetide/core/requests/ratelimits.py
+++ b/sedgetide/core/requests/ratelimits.py
@@ -1,9 +1,9 @@
-"""A limit that an upstream names for the requests of all hosts together.
+"""Rate limits stated by upstreams for the requests of all hosts together.
 
-No host knows what the others send, and a share for each breaks the limit where
-hosts are many: each has one request in hand. So the lender of an upstream's
-places counts the sends of all, from a token bucket, and where no lender
-answers nothing is sent.
+No host knows what the others send, and giving each host a share would exceed
+the limit with many hosts, since each of them may have one request in progress.
+Therefore the lender of an upstream's places counts the sends of all hosts in a
+token bucket. If no lender answers, nothing is sent.
 """
 
 import math
@@ -12,33 +12,33 @@
 
 from sedgetide.core.identifiers import IncarnationName
 
-# Tokens. Requests come in pairs, and a second lender, which for a moment
-# believes to be the only one, brings as many again.
+# Tokens. Requests arrive in pairs, and a second lender that briefly believes
+# itself to be the only one allows as many again.
 _BURST = 2.0
-# Of a bucket of which nobody knows what was sent before.
-_FIRST_TOKENS = 1.0
-# Requests a second. Nobody learns that a limit has ended but by an answer, so
-# one request goes on being sent at long intervals.
-_LEAST_RATE = 0.1
-# Upstreams whose words a host remembers, the last ones heard; more than any
-# deployment names at a time.
-_MOST_KNOWN = 4000
-# Tokens; rounding must not hold back a request whose time has come.
-_ROUNDING = 1e-6
+# Tokens of a new bucket, for which earlier sends are unknown.
+_INITIAL_TOKENS = 1.0
+# Requests per second. The end of a limit is only learnt from an answer, so a
+# request is still sent at long intervals.
+_MIN_RATE = 0.1
+# Upstreams whose limits a host keeps, most recent first; more than any
+# deployment has at a time.
+_MAX_KNOWN = 4000
+# Tokens; rounding errors must not delay a request that is due.
+_TOLERANCE = 1e-6
 
 
 class StatedLimit(msgspec.Struct, frozen=True, array_like=True):
-    """What an answer said of its upstream's limit, and when.
+    """Limit stated in an answer, and when the answer was written.
 
-    An answer was written some time between the send of its request and its
-    arrival, and answers overtake each other.
+    An answer is written at some time between the send of its request and its
+    own arrival, and answers may arrive out of order.
 
     Parameters
     ----------
     rate : float or None
-        Requests a second; None: no limit.
+        Requests per second; None for no limit.
     asked_at, heard_at : float
-        When the request was sent, and when its answer came.
+        Times at which the request was sent and its answer arrived.
     """
 
     rate: float | None
@@ -46,7 +46,7 @@
     heard_at: float
 
     def shift(self, seconds: float) -> "StatedLimit":
-        """Return the same by a clock that shows so many seconds more."""
+        """Return the limit with its times shifted by an offset."""
         return StatedLimit(
             self.rate,
             round(self.asked_at + seconds, 3),
@@ -55,101 +55,101 @@
 
 
 def choose_limit(known: StatedLimit | None, said: StatedLimit) -> StatedLimit:
-    """Return which of two words holds.
+    """Return which of two stated limits is in force.
 
-    The one that was certainly written later; the stricter one where nobody
-    can tell.
+    This is the one that was certainly written later, or the stricter one if
+    their order is unknown.
     """
     if known is None or said.asked_at >= known.heard_at:
         return said
     if known.asked_at >= said.heard_at:
         return known
-    return min(known, said, key=_read_rate)
+    return min(known, said, key=_get_rate)
 
 
-def _read_rate(word: StatedLimit) -> float:
-    return math.inf if word.rate is None else word.rate
+def _get_rate(limit: StatedLimit) -> float:
+    return math.inf if limit.rate is None else limit.rate
 
 
 class KnownLimits:
-    """Limits as one host has heard them, of each start of an upstream."""
+    """Limits known to one host, by incarnation of an upstream."""
 
     def __init__(self) -> None:
-        self._words: dict[IncarnationName, StatedLimit] = {}
+        self._limits: dict[IncarnationName, StatedLimit] = {}
 
     def note(self, upstream: IncarnationName, said: StatedLimit) -> bool:
-        """Take in a word; return whether it changes the limit in force."""
-        before = self._words.pop(upstream, None)
+        """Record a stated limit; return whether the limit in force changes."""
+        before = self._limits.pop(upstream, None)
         chosen = choose_limit(before, said)
-        self._words[upstream] = chosen
-        if len(self._words) > _MOST_KNOWN:
-            del self._words[next(iter(self._words))]
+        self._limits[upstream] = chosen
+        if len(self._limits) > _MAX_KNOWN:
+            del self._limits[next(iter(self._limits))]
         return chosen.rate != (None if before is None else before.rate)
 
     def find(self, upstream: IncarnationName) -> StatedLimit | None:
         """Return the limit in force; None when there is none."""
-        word = self._words.get(upstream)
-        return None if word is None or word.rate is None else word
+        limit = self._limits.get(upstream)
+        return None if limit is None or limit.rate is None else limit
 
     def list_rates(self) -> dict[IncarnationName, float]:
-        """Return all limits in force, in requests a second."""
+        """Return all limits in force, in requests per second."""
         return {
-            name: word.rate
-            for name, word in self._words.items()
-            if word.rate is not None
+            name: limit.rate
+            for name, limit in self._limits.items()
+            if limit.rate is not None
         }
 
 
 class TokenBucket:
-    """Sends that a limit allows; any number while there is none."""
+    """Token bucket that enforces a stated limit, if there is one."""
 
     def __init__(self) -> None:
-        self._word: StatedLimit | None = None
+        self._stated: StatedLimit | None = None
         self._rate: float | None = None
-        self._tokens = _FIRST_TOKENS
+        self._tokens = _INITIAL_TOKENS
         self._filled_at = 0.0
 
     @property
     def rate(self) -> float | None:
-        """Requests a second that may be sent; None: any number."""
+        """Allowed requests per second; None for no limit."""
         return self._rate
 
     def note(self, said: StatedLimit, now: float) -> None:
-        """Take in what a host has heard, by the own clock."""
-        self._word = choose_limit(self._word, said)
-        rate = self._word.rate
+        """Update the limit from an answer; times are local monotonic times."""
+        self._stated = choose_limit(self._stated, said)
+        rate = self._stated.rate
         if rate is not None:
-            rate = max(_LEAST_RATE, rate)
+            rate = max(_MIN_RATE, rate)
         if rate == self._rate:
             return
-        self._fill(now)
+        self._refill(now)
         if self._rate is None:
-            self._tokens = _FIRST_TOKENS
+            self._tokens = _INITIAL_TOKENS
         self._rate = rate
 
-    def _fill(self, now: float) -> None:
+    def _refill(self, now: float) -> None:
         if self._rate is not None:
             tokens = self._tokens + (now - self._filled_at) * self._rate
             self._tokens = min(_BURST, tokens)
         self._filled_at = now
 
     def take(self, now: float) -> None:
-        """Take in that one request is sent."""
-        self._fill(now)
+        """Consume a token for a sent request."""
+        self._refill(now)
         self._tokens -= 1.0
 
     def find_wait(self, ahead: int, now: float) -> float:
-        """Return after how many seconds one more may be sent.
+        """Return the seconds until another request may be sent.
 
         Parameters
         ----------
         ahead : int
-            Requests that wait and go first.
+            Number of waiting requests that go first.
         now : float
-            Own clock.
+            Current monotonic time in seconds.
         """
         if self._rate is None:
             return 0.0
-        self._fill(now)
+        self._refill(now)
         missing = 1.0 + ahead - self._tokens
-        return 0.0 if missing < _ROUNDING else missing / self._rate
+        return 0.0 if missing < _TOLERANCE else missing / self._rate
--- a/sedgetide/core/requests/retries.py
+++ b/sedgetide/core/requests/retries.py
@@ -1,24 +1,25 @@
-"""Retry budget: retries stay a share of requests, whatever fails."""
+"""Retry budget that limits retries to a share of the requests."""
 
 import msgspec
 
 _INITIAL_TOKENS = 10.0
-_LEAST_BURST = 1.0
-_LARGEST_BURST = 4.0
-# Hosts that start anew bring a first retry besides what was saved before.
-_RESERVE = 0.7
+_MIN_BURST = 1.0
+_MAX_BURST = 4.0
+# Share of the slack that hosts may save. The rest covers restarted hosts,
+# which have a first retry in addition to what was saved before.
+_SAVED_SHARE = 0.7
 FIRST_TOKENS = 1.0
 
 
 class RetryPolicy(msgspec.Struct, frozen=True):
-    """What a deployment grants for retries.
+    """Retries that a deployment allows.
 
     Parameters
     ----------
     ratio : float
-        Share of a host's own requests that it may send once more.
+        Share of its own requests that a host may retry.
     slack : float
-        Retries granted beside, to all hosts together.
+        Additional retries allowed to all hosts together.
     """
 
     ratio: float
@@ -26,39 +27,39 @@
 
 
 def compute_burst_limit(slack: float, hosts: int | None) -> float:
-    """Return how many retries a host may save up.
+    """Return how many retry tokens a host may save.
 
-    All hosts may fall back on what they saved in the same moment, when an
-    upstream's loss meets them all. Together that has to stay within what
-    the deployment grants beside the share of its requests.
+    When an upstream is lost, all hosts may spend their saved tokens at the
+    same moment. Together they must stay within the additional retries that
+    the deployment allows.
 
     Parameters
     ----------
     slack : float
-        Retries granted to all hosts together beside the share.
+        Additional retries allowed to all hosts together.
     hosts : int or None
-        Number of hosts; None when it is not known yet.
+        Number of hosts; None when not known yet.
     """
     if hosts is None:
-        return _LEAST_BURST
-    share = slack * _RESERVE / max(1, hosts)
-    return min(_LARGEST_BURST, max(_LEAST_BURST, share))
+        return _MIN_BURST
+    share = slack * _SAVED_SHARE / max(1, hosts)
+    return min(_MAX_BURST, max(_MIN_BURST, share))
 
 
 class RetryBudget:
-    """Tokens that requests earn and retries spend.
+    """Budget of tokens that requests earn and retries spend.
 
     Without it, the failure of one upstream in three would multiply the load
-    on the others just when they have the least room.
+    on the others when they have the least spare capacity.
 
     Parameters
     ----------
     ratio : float
-        Retries allowed for each request.
+        Retries allowed per request.
     most : float
-        Tokens kept at most, which bounds a burst of retries.
+        Maximum number of tokens, which limits bursts of retries.
     saved : float
-        Tokens at the beginning.
+        Initial number of tokens.
     """
 
     def __init__(
@@ -72,12 +73,12 @@
         self._tokens = min(saved, most)
 
     def limit(self, most: float) -> None:
-        """Set how many tokens are kept at most."""
+        """Set the maximum number of tokens."""
         self._most = most
         self._tokens = min(self._tokens, most)
 
     def note_request(self) -> None:
-        """Earn for a request."""
+        """Add the share of a token that a request earns."""
         self._tokens = min(self._most, self._tokens + self._ratio)
 
     def spend(self) -> bool:
--- a/sedgetide/core/requests/retryafter.py
+++ b/sedgetide/core/requests/retryafter.py
@@ -1,74 +1,74 @@
-"""When a caller whose request has not run does well to come again.
+"""Delays after which callers should retry requests that were not run.
 
-One that comes too early is refused once more and has one retry less; one
-that is told the truth about keys without an owner is still there when they
-have one. Callers cut what they are told to what their own deadline allows.
+A caller that retries too early is refused again and has one retry less. With
+a realistic delay, it still has retries left when keys without an owner get
+one. Callers limit the delay to what their own deadline allows.
 """
 
 from sedgetide.core.requests.windows import UpstreamLoad
 
-# Seconds; a place is given back within half of what a request takes.
+# Seconds; a place is returned within half of the service time of a request.
 SHORT_RETRY_DELAY = 0.25
-# Seconds; until a host that starts has read the routes.
+# Seconds until a starting host has read the routes.
 STARTUP_RETRY_DELAY = 0.5
-# Seconds; until a host that hears nothing of the store may hear it again.
+# Seconds until a host without contact to the store may be connected again.
 STORE_SILENT_RETRY_DELAY = 1.5
-# Seconds; a queue changes too fast to be foretold for longer.
-_LONGEST_QUEUE = 1.0
-_LEAST_QUEUED = 0.05
-# Seconds. A request without a place is late whatever comes, so what counts is
-# that it finds room: load above an upstream's work lasts until a burst is over
-# or keys have moved, a second or more.
-_LEAST_FOR_PLACE = 1.0
-_LONGEST_FOR_PLACE = 1.5
+# Seconds; a queue changes too fast to be predicted for longer.
+_MAX_QUEUE_DELAY = 1.0
+_MIN_FULL_DELAY = 0.05
+# Seconds. A request without a place misses its objective in any case, so the
+# delay is chosen such that it finds capacity: an overload lasts until a burst
+# is over or keys have moved, which takes a second or more.
+_MIN_PLACE_DELAY = 1.0
+_MAX_PLACE_DELAY = 1.5
 # Seconds from the loss of an owner to the grant of its successor: a hold of
-# 3.5, its margins, and the leader's next round.
-_DARK = 4.2
-# Seconds; a planned move takes no longer.
-_PLANNED_MOVE = 0.6
+# 3.5 s, its margins, and the next round of the leader.
+_OWNER_LOSS_SECONDS = 4.2
+# Seconds; maximum duration of a planned move.
+_MAX_PLANNED_MOVE = 0.6
 
 
 def retry_after_queue(seconds: float) -> float:
-    """Return when to come again to a queue that is too long.
+    """Return the retry delay for a queue that is too long.
 
     Parameters
     ----------
     seconds : float
-        Wait there by what is known.
+        Expected wait in the queue.
     """
-    return min(_LONGEST_QUEUE, max(SHORT_RETRY_DELAY, round(seconds, 2)))
+    return min(_MAX_QUEUE_DELAY, max(SHORT_RETRY_DELAY, round(seconds, 2)))
 
 
 def retry_after_place(seconds: float) -> float:
-    """Return when to come again to an upstream whose places are all lent.
+    """Return the retry delay for an upstream without free places.
 
     Parameters
     ----------
     seconds : float
-        Wait there, as the lender says.
+        Expected wait, as reported by the lender.
     """
-    most = min(_LONGEST_FOR_PLACE, seconds)
-    return round(max(_LEAST_FOR_PLACE, most), 2)
+    most = min(_MAX_PLACE_DELAY, seconds)
+    return round(max(_MIN_PLACE_DELAY, most), 2)
 
 
 def retry_after_limit(seconds: float) -> float:
-    """Return when to come again to an upstream that has named a limit.
+    """Return the retry delay for an upstream that has stated a limit.
 
     Parameters
     ----------
     seconds : float
-        Until the limit has room again, as the lender says.
+        Time until the limit allows a request, as reported by the lender.
     """
     return round(max(SHORT_RETRY_DELAY, seconds), 2)
 
 
 def retry_after_backoff(seconds: float) -> float:
-    """Return when to come again to an upstream that wants nothing yet.
+    """Return the retry delay for an upstream that requested a backoff.
 
     Parameters
     ----------
     seconds : float
-        That are left of it.
+        Remaining time of the backoff.
     """
     return round(max(SHORT_RETRY_DELAY, seconds), 2)
 
@@ -76,45 +76,45 @@
 def retry_after_full_upstream(
     load: UpstreamLoad | None, seconds: float
 ) -> float:
-    """Return when to come again to an upstream that was full.
+    """Return the retry delay for an upstream that was overloaded.
 
     Parameters
     ----------
     load : UpstreamLoad or None
-        What it said when it refused.
+        Load that it reported with its refusal.
     seconds : float
-        How long requests take there.
+        Service time of a request there.
     """
     if load is None:
         return SHORT_RETRY_DELAY
     wait = load.waiting * seconds / max(1, load.slots)
-    return min(_LONGEST_QUEUE, _LEAST_QUEUED + wait)
+    return min(_MAX_QUEUE_DELAY, _MIN_FULL_DELAY + wait)
 
 
 def retry_after_owner_loss(dark: float) -> float:
-    """Return when to come again for keys whose owner can't be reached.
+    """Return the retry delay for keys whose owner cannot be reached.
 
-    A data centre is cut off: its keys have no owner until the holds there
-    have run out. Callers who came back after a quarter of a second were
-    refused three times within one, and failed.
+    When a data centre is cut off, its keys have no owner until the holds
+    there have expired. Callers that retried after a quarter of a second were
+    refused three times within one second and failed.
 
     Parameters
     ----------
     dark : float
-        Seconds for which this host has not reached an owner.
+        Seconds for which this host has been unable to reach an owner.
     """
-    return round(max(STARTUP_RETRY_DELAY, _DARK - dark), 2)
+    return round(max(STARTUP_RETRY_DELAY, _OWNER_LOSS_SECONDS - dark), 2)
 
 
 def retry_after_move(moving: float) -> float:
-    """Return when to come again for keys that are on their way.
+    """Return the retry delay for keys that are being moved.
 
     Parameters
     ----------
     moving : float
-        Seconds for which they have been; longer than planned moves take
-        where the old owner is lost and its hold has to run out.
+        Seconds since the start of the move. It exceeds the duration of a
+        planned move if the old owner was lost and its hold has to expire.
     """
-    if moving <= _PLANNED_MOVE:
+    if moving <= _MAX_PLANNED_MOVE:
         return SHORT_RETRY_DELAY
     return retry_after_owner_loss(moving)
--- a/sedgetide/core/requests/routes.py
+++ b/sedgetide/core/requests/routes.py
@@ -1,4 +1,4 @@
-"""Choice of a route by host and longest path prefix."""
+"""Routes by host and longest path prefix, and the times of a request."""
 
 import msgspec
 import xxhash
@@ -10,12 +10,12 @@
 
 
 class RouteTable:
-    """Routes of one policy, found by one look-up for each path segment.
+    """Routes of one policy, with one lookup per path segment.
 
     Parameters
     ----------
     policy : Policy
-        Version in force.
+        Policy in force.
     """
 
     def __init__(self, policy: Policy) -> None:
@@ -25,7 +25,7 @@
             routes[route.prefix] = route
 
     def match(self, host: str, path: str) -> RouteRule | None:
-        """Return the route with the longest prefix that begins a path.
+        """Return the route with the longest matching path prefix.
 
         Parameters
         ----------
@@ -37,7 +37,7 @@
         routes = self._hosts.get(_drop_port(host).lower())
         if routes is None:
             return None
-        # Every prefix ends with a slash, so only those can match.
+        # Every prefix ends with a slash, so only such prefixes can match.
         end = path.rfind("/")
         while end >= 0:
             route = routes.get(path[: end + 1])
@@ -53,10 +53,10 @@
 
 
 def choose_service(route: RouteRule, request: RequestId) -> ServiceName:
-    """Return the service that a request of a route goes to.
+    """Return the service to which a request of a route is sent.
 
-    The id decides, so that all hosts agree and shares follow the weights
-    without any state.
+    The choice is a hash of the request id, so that all hosts agree and the
+    shares follow the weights without shared state.
     """
     if len(route.shares) == 1:
         return route.shares[0].service
@@ -70,17 +70,17 @@
 
 
 class RequestTimes(msgspec.Struct, frozen=True):
-    """Times of one request by the own clock.
+    """Monotonic times of one request.
 
     Parameters
     ----------
     began : float
-        When it had been read.
+        When the request had been read.
     final : float
-        When its caller gets a final answer at the latest: its deadline or
-        the route's timeout, whichever comes first.
+        When the caller gets a final answer at the latest: the deadline of
+        the caller or the timeout of the route, whichever comes first.
     objective : float
-        Until when an answer is worth most.
+        Until when an answer meets the objective of the route.
     """
 
     began: float
@@ -88,26 +88,26 @@
     objective: float
 
     def find_hold_deadline(self) -> float:
-        """Return until when the request may wait to be sent.
+        """Return until when the request may be held before it is sent.
 
-        Beyond, its caller does better to hear at once that it has not run
-        and to come again than to learn the same near its deadline.
+        After that, it is better to tell the caller at once that the request
+        was not run, while there is time for a retry.
         """
-        patience = min(self.objective - self.began, self.final - self.began)
-        return self.began + patience * _PATIENCE
+        time_limit = min(self.objective - self.began, self.final - self.began)
+        return self.began + time_limit * _HOLD_SHARE
 
     def find_useful_time(self, now: float) -> float:
-        """Return the seconds within which an answer is still in time.
+        """Return the remaining seconds for an answer within the objective.
 
-        A little is kept back, since what a request takes varies: one that
-        would just be in time is late half of the time.
+        A margin is subtracted because service times vary: a request that is
+        expected to end just in time is late in half of the cases.
         """
         useful = min(self.objective, self.final) - self.began
-        return max(0.0, self.began + useful * _USEFUL - now)
+        return max(0.0, self.began + useful * _USEFUL_SHARE - now)
 
 
-_PATIENCE = 0.5
-_USEFUL = 0.9
+_HOLD_SHARE = 0.5
+_USEFUL_SHARE = 0.9
 
 
 def compute_times(
@@ -118,11 +118,11 @@
     Parameters
     ----------
     route : RouteRule
-        Its route.
+        Route of the request.
     deadline : float or None
-        Seconds that the caller waits; None when it did not say.
+        Seconds until the caller's deadline; None when not stated.
     began : float
-        Own clock.
+        Monotonic time at which the request had been read.
     """
     left = route.timeout if deadline is None else min(deadline, route.timeout)
     return RequestTimes(began, began + left, began + route.objective)
--- a/sedgetide/core/requests/routing.py
+++ b/sedgetide/core/requests/routing.py
@@ -1,4 +1,4 @@
-"""From a caller's method and path to the rule, key and shard."""
+"""Routing of requests by method and path to a service, route and key."""
 
 from collections.abc import Sequence
 from urllib.parse import unquote
@@ -12,18 +12,18 @@
 
 
 class Match(msgspec.Struct, frozen=True):
-    """A request's rule.
+    """Route that matches a request.
 
     Parameters
     ----------
     service : Service
-        Service the path belongs to.
+        Service to which the path belongs.
     route : Route
-        First route whose method and path prefix fit.
+        First route whose methods and path prefix match.
     key : str or None
         Decoded key; None for a service without keys.
     path : str
-        Path below the service's prefix, as it goes to the upstream.
+        Path below the prefix of the service, as sent to the upstream.
     """
 
     service: Service
@@ -32,7 +32,7 @@
     path: str
 
 
-def _split(path: str) -> list[str]:
+def _split_path(path: str) -> list[str]:
     return path.split("/")[1:] if path else []
 
 
@@ -51,28 +51,28 @@
 
 
 class Router:
-    """Routes of one version of the operators' text.
+    """Routes of one version of the configuration text.
 
     Parameters
     ----------
     text : Text
-        Checked text.
+        Validated configuration text.
     """
 
     def __init__(self, text: Text) -> None:
         self._services = [
             (
-                _split(service.prefix),
+                _split_path(service.prefix),
                 service,
-                [(_split(route.path), route) for route in service.routes],
+                [(_split_path(route.path), route) for route in service.routes],
             )
             for service in text.services
         ]
-        # The longest prefix decides, whatever the order in the text.
+        # The longest prefix wins, regardless of the order in the text.
         self._services.sort(key=lambda each: len(each[0]), reverse=True)
 
     def match(self, method: str, path: str) -> Match | None:
-        """Find the rule of a request.
+        """Find the route of a request.
 
         Parameters
         ----------
@@ -84,9 +84,9 @@
         Returns
         -------
         Match or None
-            None when no service or no route fits.
+            None when no service or no route matches.
         """
-        segments = _split(path)
+        segments = _split_path(path)
         for prefix, service, routes in self._services:
             if segments[: len(prefix)] != prefix:
                 continue
--- a/sedgetide/core/requests/trials.py
+++ b/sedgetide/core/requests/trials.py
@@ -1,18 +1,20 @@
-"""Leave to run a request under which upstreams have ended: one run at a time.
-
-The load that this answers: many copies of a request that crashes whoever runs
-it are on their way at all hosts. Each copy that runs is one more crash, and
-an upstream that ends takes all copies that it works on, and the requests
-beside them, along. From the first loss on, one host therefore lets one copy
-run and keeps the others waiting. An innocent request ends well and is free
-after one run; a deadly one costs one run for each upstream.
-
-Requests beside a deadly one are suspects as well. Once two losses speak
-against several of a service, they run one after the other: the next loss
-then speaks against one of them only.
-
-What may be told of a request does not rest on it. A desk that is lost, or two
-that let a copy run in the same moment, cost a run more.
+"""Trials: runs of suspected requests, one at a time over all hosts.
+
+A suspect is a request that was running when an upstream crashed; see
+quarantine.py. This guards against many copies of a crashing request in
+progress at all hosts. Each copy that runs is another crash, which also ends
+all other copies and requests that the upstream is running. Therefore, from the
+first loss on, one host allows one copy to run and makes the others wait. An
+innocent request succeeds and is unrestricted after one run; a crashing one
+costs a single run per upstream.
+
+Requests that run beside a crashing one become suspects as well. Once several
+requests of a service have two losses each, they run one after the other, so
+that the next loss can be attributed to one of them.
+
+The reported outcome of a request does not depend on this. The loss of a
+scheduler, or two that allow a copy to run at the same moment, cost one more
+run.
 """
 
 import collections
@@ -26,20 +28,21 @@
 from sedgetide.core.requests.places import Ticket
 from sedgetide.core.requests.places import Verdict
 
-# Seconds after a run that broke for which no other copy runs. Word of the
-# loss has reached all hosts by then.
-_SETTLING = 1.0
-# Seconds after the end of its request for which a holder may be silent.
-_GRACE = 0.5
-# Requests that wait for one run's end; their hosts give up within a second,
-# and this bounds memory beyond that.
-_MOST_WAITING = 200
-# Fingerprints, as many as losses of the quarantine may name.
-_MOST_SUSPECTS = 4096
+# Seconds after a broken run for which no other copy runs. All hosts have
+# learnt of the loss by then.
+_SETTLE_SECONDS = 1.0
+# Seconds after the deadline of its request after which a silent holder is
+# considered lost.
+_HOLDER_GRACE = 0.5
+# Requests that wait for the end of one run. Their hosts give up within a
+# second; this limits memory.
+_MAX_WAITING = 200
+# Fingerprints; as many as the losses of the quarantine may contain.
+_MAX_SUSPECTS = 4096
 
 
 class TrialEnd(enum.Enum):
-    """What became of a run."""
+    """How a run ended."""
 
     WELL = "well"
     NOT_RUN = "not-run"
@@ -47,18 +50,18 @@
 
 
 class TrialDecision(msgspec.Struct, frozen=True):
-    """What becomes of a request that asked for leave to run.
+    """Decision on a request for permission to run.
 
     Parameters
     ----------
     ticket : Ticket
-        Which.
+        Request that is decided on.
     verdict : Verdict
-        What its host may do.
+        Response to its host.
     retry_after : float
-        Seconds after which a refused caller does well to come again.
+        Seconds after which a refused caller should retry.
     alone : bool
-        Whether no other grave suspect of its service runs meanwhile.
+        Whether no other strong suspect of its service runs meanwhile.
     """
 
     ticket: Ticket
@@ -74,37 +77,38 @@
 
 
 class _Suspect:
-    """One request: its run, and the copies that wait for the end of it."""
+    """A suspected request: its current run and the copies that wait."""
 
     def __init__(self) -> None:
         self.holder: Ticket | None = None
-        # When the holder counts as lost; without one, until when none runs.
+        # With a holder, when it is considered lost; without one, until when
+        # no copy may run.
         self.until = float("-inf")
-        # Service in which no other grave suspect may run beside the holder.
+        # Service in which no other strong suspect may run beside the holder.
         self.alone: ServiceName | None = None
         self.waiting: collections.deque[_Waiting] = collections.deque()
 
-    def is_open(self, now: float) -> bool:
-        """Tell whether a copy may run."""
+    def can_run(self, now: float) -> bool:
+        """Return whether a copy may run."""
         return self.holder is None and now >= self.until
 
     def grant_first(self, now: float) -> TrialDecision:
-        """Let the copy run that has waited longest."""
+        """Allow the copy that has waited longest to run."""
         first = self.waiting.popleft()
         self.holder = first.ticket
-        self.until = now + first.left + _GRACE
+        self.until = now + first.left + _HOLDER_GRACE
         self.alone = first.alone
         alone = first.alone is not None
         return TrialDecision(first.ticket, Verdict.GRANTED, alone=alone)
 
     def withdraw(self, ticket: Ticket) -> None:
-        """Forget a copy that waits."""
+        """Remove a waiting copy."""
         self.waiting = collections.deque(
             each for each in self.waiting if each.ticket != ticket
         )
 
     def finish(self, end: TrialEnd, now: float) -> list[TrialDecision]:
-        """End the run; decide what the waiting copies learn from it."""
+        """End the run and decide on the waiting copies."""
         self.holder = None
         self.alone = None
         self.until = now
@@ -112,20 +116,20 @@
             return []
         verdict, wait = Verdict.NEEDLESS, 0.0
         if end is TrialEnd.BROKEN:
-            verdict, wait = Verdict.REFUSED, _SETTLING
-            self.until = now + _SETTLING
+            verdict, wait = Verdict.REFUSED, _SETTLE_SECONDS
+            self.until = now + _SETTLE_SECONDS
         waiting, self.waiting = self.waiting, collections.deque()
         return [TrialDecision(each.ticket, verdict, wait) for each in waiting]
 
 
 class TrialScheduler:
-    """Lets suspects run one at a time, for all hosts that ask."""
+    """Schedules the runs of suspects one at a time for all hosts."""
 
     def __init__(self) -> None:
         self._suspects: dict[Fingerprint, _Suspect] = {}
         self._asked: dict[Ticket, Fingerprint] = {}
-        # Services in which a grave suspect runs.
-        self._taken: set[ServiceName] = set()
+        # Services in which a strong suspect runs.
+        self._busy_services: set[ServiceName] = set()
 
     def ask(
         self,
@@ -135,35 +139,37 @@
         now: float,
         alone: ServiceName | None = None,
     ) -> list[TrialDecision]:
-        """Take in that a host wants to run a request.
+        """Handle the request of a host to run a suspect.
 
         Parameters
         ----------
         ticket : Ticket
-            Who asks.
+            Request that needs permission.
         fingerprint : Fingerprint
-            What the request and its repeats have in common.
+            Fingerprint of the request.
         left : float
-            Seconds until its caller gets a final answer at the latest.
+            Seconds until the caller gets a final answer at the latest.
         now : float
-            Own clock.
+            Current monotonic time in seconds.
         alone : ServiceName or None
-            Where no other such request may run beside it: of a grave
-            suspect, the service that it goes to.
+            For a strong suspect, its service, in which no other strong
+            suspect may run beside it.
 
         Returns
         -------
         list of TrialDecision
-            For this ticket, and for others that it affects.
+            Decisions on this ticket and on others that it affects.
         """
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
-            if len(self._suspects) >= _MOST_SUSPECTS:
-                return [TrialDecision(ticket, Verdict.REFUSED, _SETTLING)]
+            if len(self._suspects) >= _MAX_SUSPECTS:
+                return [
+                    TrialDecision(ticket, Verdict.REFUSED, _SETTLE_SECONDS)
+                ]
             suspect = self._suspects[fingerprint] = _Suspect()
         settling = suspect.holder is None and now < suspect.until
-        if settling or len(suspect.waiting) >= _MOST_WAITING:
-            return [TrialDecision(ticket, Verdict.REFUSED, _SETTLING)]
+        if settling or len(suspect.waiting) >= _MAX_WAITING:
+            return [TrialDecision(ticket, Verdict.REFUSED, _SETTLE_SECONDS)]
         self._asked[ticket] = fingerprint
         suspect.waiting.append(_Waiting(ticket, left, alone))
         decisions = self._admit([suspect], now)
@@ -174,16 +180,16 @@
     def end(
         self, ticket: Ticket, end: TrialEnd, now: float
     ) -> list[TrialDecision]:
-        """Take in that a run is over, or is waited for no longer.
+        """Handle the end of a run, or of the wait for one.
 
         Parameters
         ----------
         ticket : Ticket
-            Whose; one that is not known changes nothing.
+            Ticket of the request; unknown ones are ignored.
         end : TrialEnd
-            What became of it.
+            How the run ended.
         now : float
-            Own clock.
+            Current monotonic time in seconds.
         """
         fingerprint = self._asked.pop(ticket, None)
         if fingerprint is None:
@@ -198,20 +204,20 @@
             del self._asked[each.ticket]
         if freed is None:
             return decisions + self._admit([suspect], now)
-        self._taken.discard(freed)
+        self._busy_services.discard(freed)
         return decisions + self._admit(self._suspects.values(), now)
 
     def find_fingerprint(self, ticket: Ticket) -> Fingerprint | None:
-        """Return which request a ticket is for."""
+        """Return the fingerprint of the request of a ticket."""
         return self._asked.get(ticket)
 
     def expire(self, now: float) -> list[TrialDecision]:
-        """End the runs of hosts that were lost; forget what is over."""
+        """End the runs of lost hosts and remove finished suspects."""
         decisions = []
         for fingerprint, suspect in list(self._suspects.items()):
             if suspect.holder is not None and now >= suspect.until:
                 decisions += self.end(suspect.holder, TrialEnd.BROKEN, now)
-            if suspect.is_open(now) and not suspect.waiting:
+            if suspect.can_run(now) and not suspect.waiting:
                 del self._suspects[fingerprint]
         return decisions
 
@@ -220,12 +226,12 @@
     ) -> list[TrialDecision]:
         decisions = []
         for suspect in suspects:
-            if not suspect.waiting or not suspect.is_open(now):
+            if not suspect.waiting or not suspect.can_run(now):
                 continue
             alone = suspect.waiting[0].alone
-            if alone in self._taken:
+            if alone in self._busy_services:
                 continue
             if alone is not None:
-                self._taken.add(alone)
+                self._busy_services.add(alone)
             decisions.append(suspect.grant_first(now))
         return decisions
--- a/sedgetide/core/requests/windows.py
+++ b/sedgetide/core/requests/windows.py
@@ -1,34 +1,34 @@
-"""How many requests one host may have at one upstream at a time.
+"""Adaptive limit of the requests in flight from one host to one upstream.
 
-Hosts do not know of each other's requests. Each lets its share grow while
-the upstream says that nobody waits there, and shrink when many do, so that
-together they stay below what makes the upstream refuse. Where hosts are
-more than an upstream's slots, the share falls below one request: the host
-then waits between two of them.
+Hosts do not know of each other's requests. Each increases its limit while the
+upstream reports an empty queue, and decreases it when the queue is long, so
+that together they stay below the load at which the upstream refuses requests.
+With more hosts than slots, the limit falls below one request: the host then
+pauses between requests.
 """
 
 import msgspec
 
-_GROWTH = 0.5
-_SHRINK = 0.7
-_REFUSED = 0.5
-_SMALLEST = 0.05
-_FRACTION_GROWTH = 1.5
-_REST_AT_BEST = 0.25
-_LONGEST_PAUSE = 10.0
+_INCREMENT = 0.5
+_DECREASE_FACTOR = 0.7
+_REFUSAL_FACTOR = 0.5
+_MIN_LIMIT = 0.05
+_FRACTIONAL_FACTOR = 1.5
+_MIN_REMAINING_SHARE = 0.25
+_MAX_PAUSE = 10.0
 
 
 class UpstreamLoad(msgspec.Struct, frozen=True):
-    """What an upstream said of itself with an answer.
+    """Load that an upstream reported with an answer.
 
     Parameters
     ----------
     running, waiting : int
-        Requests that it works on, and that wait for one of its slots.
+        Number of requests that it runs, and that wait for one of its slots.
     slots : int
-        Requests that it works on at a time.
+        Number of requests that it runs concurrently.
     pace : float
-        Factor by which work takes longer there at this moment than usual.
+        Factor by which requests currently take longer there than usual.
     """
 
     running: int
@@ -38,12 +38,12 @@
 
 
 class Window:
-    """Bound of the requests in flight from this host to one upstream.
+    """Limit of the requests in flight from this host to one upstream.
 
     Parameters
     ----------
     slots : int
-        Requests the upstream works on at a time.
+        Number of requests that the upstream runs concurrently.
     """
 
     def __init__(self, slots: int) -> None:
@@ -51,96 +51,96 @@
         self._limit = float(max(1, slots))
         self.in_flight = 0
         self._waiting = 0
-        self._told_at = float("-inf")
+        self._reported_at = float("-inf")
         self._next_at = float("-inf")
 
     @property
     def limit(self) -> float:
-        """Requests that may be in flight; below one, a share of the time."""
+        """Requests allowed in flight; below one, the share of busy time."""
         return self._limit
 
     def find_opening(self, now: float) -> float | None:
-        """Return when one more request may be sent; None: after an answer.
+        """Return when another request may be sent; None if after an answer.
 
         Parameters
         ----------
         now : float
-            Own clock.
+            Current monotonic time in seconds.
         """
         if self.in_flight >= max(1, int(self._limit)):
             return None
         return now if self._limit >= 1.0 else max(now, self._next_at)
 
     def is_free(self, now: float) -> bool:
-        """Tell whether one more request may be sent now."""
+        """Return whether another request may be sent now."""
         opening = self.find_opening(now)
         return opening is not None and opening <= now
 
     def estimate_wait(self, ahead: int, seconds: float, now: float) -> float:
-        """Return after how long one more request might be sent, at best.
+        """Return the minimum expected wait of another request in seconds.
 
         Parameters
         ----------
         ahead : int
-            Requests that wait and go first.
+            Number of waiting requests that go first.
         seconds : float
-            How long requests take there.
+            Service time of a request there.
         now : float
-            Own clock.
+            Current monotonic time in seconds.
         """
         opening = self.find_opening(now)
         if opening is None:
-            # What is in flight has been for some time already.
-            opening = now + seconds * _REST_AT_BEST
+            # The requests in flight have been running for some time already.
+            opening = now + seconds * _MIN_REMAINING_SHARE
         return opening - now + ahead * seconds / self._limit
 
     def note_end(self, seconds: float, now: float) -> None:
-        """Take in that a request has ended.
+        """Record the end of a request.
 
         Parameters
         ----------
         seconds : float
-            How long requests take there.
+            Service time of a request there.
         """
         self.in_flight -= 1
         if self._limit < 1.0:
             pause = seconds * (1.0 / self._limit - 1.0)
-            # A slow upstream may have recovered long before; nobody learns
-            # of it but by the next request.
-            self._next_at = now + min(_LONGEST_PAUSE, pause)
+            # A slow upstream may recover much earlier, and only the next
+            # request shows it.
+            self._next_at = now + min(_MAX_PAUSE, pause)
 
     def note_load(self, load: UpstreamLoad, now: float) -> None:
-        """Take in what the upstream said."""
+        """Update the limit from the load that the upstream reported."""
         self._waiting = load.waiting
-        self._told_at = now
+        self._reported_at = now
         if load.waiting == 0:
             self._grow()
         elif load.waiting > self.slots:
-            self._limit = max(_SMALLEST, self._limit * _SHRINK)
+            self._limit = max(_MIN_LIMIT, self._limit * _DECREASE_FACTOR)
 
     def _grow(self) -> None:
         if self._limit < 1.0:
-            self._limit = min(1.0, self._limit * _FRACTION_GROWTH)
+            self._limit = min(1.0, self._limit * _FRACTIONAL_FACTOR)
         else:
             most = 2.0 * self.slots + 1
-            self._limit = min(most, self._limit + _GROWTH)
+            self._limit = min(most, self._limit + _INCREMENT)
 
     def note_refusal(self, load: UpstreamLoad | None = None) -> None:
-        """Take in that the upstream took a request for one too many.
+        """Record that the upstream refused a request because of overload.
 
         Parameters
         ----------
         load : UpstreamLoad or None
-            What it said of itself. One that refuses while nobody waits
-            there has room and a fault: sending it less would add our own
-            refusals to its.
+            Load that it reported. An upstream that refuses requests while
+            its queue is empty has spare capacity and a fault; a lower limit
+            would only add refusals of this host to its own.
         """
         if load is not None and load.waiting == 0:
             return
-        self._limit = max(_SMALLEST, self._limit * _REFUSED)
+        self._limit = max(_MIN_LIMIT, self._limit * _REFUSAL_FACTOR)
 
     def estimate_queue(self, now: float) -> float:
-        """Return how many requests are at the upstream, by what is known."""
-        age = now - self._told_at
+        """Return the estimated number of requests at the upstream."""
+        age = now - self._reported_at
         others = self._waiting * max(0.0, 1.0 - age) if age < 1.0 else 0.0
         return self.in_flight + others
--- a/tests/core/requests/test_attempts.py
+++ b/tests/core/requests/test_attempts.py
@@ -1,4 +1,4 @@
-"""Tests of where a request goes next and whether it goes once more."""
+"""Tests of the choice of a target for the next attempt, and of retries."""
 
 import msgspec
 import testtools
@@ -26,12 +26,11 @@
 
 
 class TestListCandidates(testtools.TestCase):
-    """An upstream crashes, and its address goes to another service's.
+    """An upstream crashes, and one of another service gets its address.
 
-    The registry shows it for three heartbeats more. Whoever has the
-    address refuses each request at once, so the dead one seems the fastest
-    of all; callers' requests and the retries of all hosts go there and are
-    refused, while the others are free.
+    The registry lists the crashed one for three more heartbeats. The new user
+    of the address refuses each request at once, so the crashed upstream would
+    seem the fastest and attract requests and retries of all hosts.
     """
 
     def setUp(self):
@@ -64,7 +63,7 @@
 
 
 class TestFindOwner(testtools.TestCase):
-    """Only the owner may get a request, and only while it stays."""
+    """Only the owner is sent a request, and only while it is not leaving."""
 
     def setUp(self):
         super().setUp()
@@ -93,15 +92,15 @@
         self.assertIs(Wait.MOVING, find_owner(table, 5, self.directory, NOW))
 
     def test_leaving_owner_gets_nothing(self):
-        # The owner has announced its end and its keys have not moved yet.
-        # A request sent to it could be cut by its end.
+        # The owner has announced its shutdown and its keys have not moved yet.
+        # A request sent to it could be interrupted by the shutdown.
         self.put("u-1", leaving=True)
         found = find_owner(self.table, 5, self.directory, NOW)
         self.assertIs(Wait.OWNER_GONE, found)
 
 
 class TestMaySendAgain(testtools.TestCase):
-    """Nothing that may have run and may not run twice is sent again."""
+    """A non-idempotent request that may have run is not sent again."""
 
     def ask(self, route, outcome, sends=1, tried=("u-1",), now=0.1):
         progress = Progress(outcome, tried=list(tried), sends=sends)
--- a/tests/core/requests/test_bodylimits.py
+++ b/tests/core/requests/test_bodylimits.py
@@ -1,4 +1,4 @@
-"""Tests of the bytes of bodies that a host holds."""
+"""Tests of the limit of bytes of bodies that a host holds in memory."""
 
 import testtools
 
@@ -8,15 +8,15 @@
 MEGABYTE = 1024 * 1024
 
 
-class TestBodyAllowance(testtools.TestCase):
+class TestBodyBudget(testtools.TestCase):
     def test_what_does_not_fit_is_not_held(self):
-        allowance = BodyBudget(100)
-        self.assertTrue(allowance.take(60))
-        self.assertFalse(allowance.take(41))
-        self.assertTrue(allowance.take(40))
-        self.assertTrue(allowance.take(0))
-        allowance.give_back(60)
-        self.assertTrue(allowance.take(60))
+        budget = BodyBudget(100)
+        self.assertTrue(budget.take(60))
+        self.assertFalse(budget.take(41))
+        self.assertTrue(budget.take(40))
+        self.assertTrue(budget.take(0))
+        budget.give_back(60)
+        self.assertTrue(budget.take(60))
 
     def test_three_copies_and_the_host_fit_into_its_memory(self):
         for memory in (128, 200, 300, 552):
--- a/tests/core/requests/test_brokenruns.py
+++ b/tests/core/requests/test_brokenruns.py
@@ -1,4 +1,4 @@
-"""Tests of telling a crash from other reasons for a broken connection."""
+"""Tests of the attribution of broken connections to crashes."""
 
 import testtools
 
@@ -44,10 +44,10 @@
         )
 
     def test_upstream_that_goes_on_answering_has_not_ended(self):
-        """A full upstream resets a request and serves the others.
+        """An overloaded upstream resets a request and serves the others.
 
-        Its entry disappears a second later for a reason of its own. The
-        answer in between shows that it had not ended under the request.
+        Its entry disappears a second later for another reason. The answer in
+        between shows that the request had not crashed it.
         """
         self.runs.note(UPSTREAM.name, make_run(1.0))
         self.runs.note_answer(UPSTREAM.name, began=1.1)
@@ -55,9 +55,9 @@
         self.assertEqual([], self.runs.pop_withdrawn(self.directory, 2.0))
 
     def test_last_answer_of_an_upstream_that_ends(self):
-        """An answer leaves right before the crash and is read after it.
+        """An answer is sent right before the crash and read after it.
 
-        Taken for a sign of life, it would hide the loss.
+        Taken as proof that the upstream is alive, it would hide the loss.
         """
         self.runs.note(UPSTREAM.name, make_run(1.0))
         self.runs.note_answer(UPSTREAM.name, began=0.8)
@@ -66,10 +66,10 @@
         self.assertEqual(1, len(ended))
 
     def test_entry_that_disappears_within_seconds(self):
-        """Something between host and upstream accepts all connections.
+        """A proxy in front of the upstream accepts all connections.
 
-        Nobody refuses there when the upstream has crashed; its entry, which
-        is gone three heartbeats later, shows it.
+        No connection is refused after the upstream has crashed. The crash is
+        detected when its entry expires three heartbeats later.
         """
         self.runs.note(UPSTREAM.name, make_run(1.0))
         self.assertEqual([], self.runs.pop_withdrawn(self.directory, 2.0))
@@ -85,7 +85,7 @@
         self.assertEqual([], self.runs.pop_withdrawn(self.directory, 8.1))
 
     def test_entry_that_lapses_while_the_store_is_away(self):
-        # Missing entries are not believed then, here neither.
+        # Missing entries prove nothing while the store is unreachable.
         self.runs.note(UPSTREAM.name, make_run(1.0))
         self.directory.note_registry_outage(1.5)
         self.directory.remove(UPSTREAM.registered_name, 2.0)
--- a/tests/core/requests/test_coldstart.py
+++ b/tests/core/requests/test_coldstart.py
@@ -1,4 +1,4 @@
-"""Tests of the bound of what cold upstreams are sent."""
+"""Tests of the limit of the request rate to cold upstreams."""
 
 import bisect
 import random
@@ -19,7 +19,7 @@
 
 
 def count_most(times):
-    """Return the most that lie within any one second."""
+    """Return the maximum number of sends within any one second."""
     times = sorted(times)
     return max(
         (
@@ -83,20 +83,20 @@
 
 
 class TestReturn(testtools.TestCase):
-    """A data centre comes back cold and all hosts find it idle.
+    """A data centre restarts cold and all hosts consider it idle.
 
-    66 hosts that do not know of each other have requests for services
-    without keys. 13 upstreams that have nothing to do seem the best choice
-    to each, and in one second an upstream is sent more than it bears and
-    ends, which makes the others busier.
+    66 hosts without knowledge of each other send requests for services
+    without keys. To each, the 13 idle upstreams seem the best choice. Within
+    one second an upstream is sent more than it can handle and fails, which
+    increases the load on the others.
     """
 
     HOSTS = 66
     UPSTREAMS = 13
-    # Requests a second that would go there by their share of the service.
+    # Requests per second that the upstreams get as their share of the service.
     LOAD = 60.0
 
-    def play(self, lenders, seed):
+    def simulate(self, lenders, seed):
         """Return the times of sends to each upstream in four seconds."""
         source = random.Random(seed)
         sent = {name: [] for name in range(self.UPSTREAMS)}
@@ -106,8 +106,8 @@
             now += source.expovariate(self.LOAD)
             number += 1
             host = source.randrange(self.HOSTS)
-            # Hosts know of the return at their own moment, and each goes
-            # where nobody has waited so far as it knows.
+            # Hosts learn of the restart at different times, and each chooses
+            # an upstream without a queue as far as it knows.
             upstream = source.randrange(3)
             ticket = Ticket(f"host-{host}", number)
             lender = lenders[host % len(lenders)] if lenders else None
@@ -126,19 +126,19 @@
         return sent
 
     def test_hosts_on_their_own_break_the_bound(self):
-        worst = max(count_most(each) for each in self.play([], 1).values())
+        worst = max(count_most(each) for each in self.simulate([], 1).values())
         self.assertGreater(worst, TOTAL)
 
     def test_one_lender_keeps_it(self):
         for seed in range(5):
-            for times in self.play([Lender()], seed).values():
+            for times in self.simulate([Lender()], seed).values():
                 self.assertLessEqual(count_most(times), BOUND)
 
     def test_two_that_believe_they_lend_keep_it(self):
-        # The leader has named another lender, and half of the hosts have
-        # not heard it yet.
+        # The leader has appointed another lender, and half of the hosts have
+        # not learnt of it yet.
         for seed in range(5):
-            for times in self.play([Lender(), Lender()], seed).values():
+            for times in self.simulate([Lender(), Lender()], seed).values():
                 self.assertLessEqual(count_most(times), TOTAL)
 
     def test_those_who_wait_are_let_in_as_it_bears(self):
--- a/tests/core/requests/test_fingerprints.py
+++ b/tests/core/requests/test_fingerprints.py
@@ -1,4 +1,4 @@
-"""Tests of what stands for a request and its repeats."""
+"""Tests of the fingerprints of requests."""
 
 import testtools
 
--- a/tests/core/requests/test_health.py
+++ b/tests/core/requests/test_health.py
@@ -1,4 +1,4 @@
-"""Tests of what a host's own requests say of an upstream."""
+"""Tests of passive health checking."""
 
 import testtools
 
@@ -8,7 +8,7 @@
 
 
 class TestUpstreamHealth(testtools.TestCase):
-    """One failure may be the request's own; two are the upstream's."""
+    """One failure may be the fault of the request, two are not."""
 
     def setUp(self):
         super().setUp()
--- a/tests/core/requests/test_lenderfailover.py
+++ b/tests/core/requests/test_lenderfailover.py
@@ -1,7 +1,8 @@
-"""Many hosts, few slots and five data centres, in passed-in time.
+"""Simulation of lender failover with many hosts in five data centres.
 
-Hosts, lenders, the leader's roster and upstreams are the product's own
-decisions or models of a few lines; messages take a millisecond.
+Lenders, windows and the leader's roster are production code; hosts and
+upstreams are simple models. Time is simulated, and messages take a
+millisecond.
 """
 
 import heapq
@@ -33,9 +34,14 @@
 WORK = 0.2
 OBJECTIVE = 0.6
 LOAD = 0.75
-MESSAGE = 0.001
-# As the daemon has them.
-REPORT, CHOICE, WORD, SILENT = 0.4, 0.8, 0.12, 1.0
+MESSAGE_DELAY = 0.001
+# Values as in the daemon.
+REPORT_INTERVAL, CHOICE_INTERVAL, RESPONSE_TIMEOUT, SILENT_SECONDS = (
+    0.4,
+    0.8,
+    0.12,
+    1.0,
+)
 
 
 class Job(msgspec.Struct, eq=False):
@@ -58,15 +64,15 @@
     def __init__(self, index):
         self.link = LinkAddress(f"host-{index}")
         self.centre = CENTRES[index % len(CENTRES)]
-        self.lives = True
+        self.alive = True
         self.lenders = LenderList()
         self.lender = Lender()
         self.silent = {}
         self.windows = {}
 
 
-class Crowd:
-    """All of it, with a list of what became of each request."""
+class Simulation:
+    """Simulates hosts and upstreams and records how each request ends."""
 
     def __init__(self, seconds, seed=1):
         self._random = random.Random(seed)
@@ -88,8 +94,8 @@
             for index in range(UPSTREAMS)
         ]
         self.roster = LenderSelector(LenderList(), 0.0)
-        # When it was asked, whether it was answered in time, how it ended.
-        self.ends = []
+        # Arrival time, whether it was answered in time, and how it ended.
+        self.results = []
         self._plan(seconds)
 
     def _plan(self, seconds):
@@ -103,10 +109,10 @@
                 WORK * self._random.lognormvariate(-0.125, 0.5),
             )
             self.push(at, self._arrive, job)
-        for turn in range(int(seconds / REPORT)):
-            self.push(turn * REPORT, self._report)
-        for turn in range(int(seconds / CHOICE)):
-            self.push(turn * CHOICE + 0.01, self._choose)
+        for turn in range(int(seconds / REPORT_INTERVAL)):
+            self.push(turn * REPORT_INTERVAL, self._report)
+        for turn in range(int(seconds / CHOICE_INTERVAL)):
+            self.push(turn * CHOICE_INTERVAL + 0.01, self._choose)
 
     def push(self, at, call, *arguments):
         item = (at, next(self._numbers), call, arguments)
@@ -122,7 +128,7 @@
 
     def _report(self):
         for host in self.hosts:
-            if host.lives:
+            if host.alive:
                 standing = HostStatus(host.centre, 1.0, host.lenders.version)
                 self.roster.note(host.link, standing, self.now)
                 if standing.lenders != self.roster.lenders.version:
@@ -137,34 +143,34 @@
 
     def _arrive(self, job):
         host = self.hosts[job.host]
-        if not host.lives:
+        if not host.alive:
             return
         link = host.lenders.find(self.upstreams[job.upstream].entry)
         if link is None or self.now < host.silent.get(link, 0.0):
-            self._go_alone(job)
+            self._send_by_window(job)
             return
         job.ticket = Ticket(host.link, next(self._numbers))
         self._pending[job.ticket] = job
-        self.push(self.now + MESSAGE, self._ask, link, job)
-        self.push(self.now + WORD, self._miss, link, job)
+        self.push(self.now + MESSAGE_DELAY, self._ask, link, job)
+        self.push(self.now + RESPONSE_TIMEOUT, self._time_out, link, job)
 
     def _ask(self, link, job):
         lender = self.by_link[link]
-        if not lender.lives:
+        if not lender.alive:
             return
         left = 0.9 * OBJECTIVE - (self.now - job.at)
         name = self.upstreams[job.upstream].entry.name
         decisions = lender.lender.ask(
             job.ticket, name, SLOTS, 2, left, self.now
         )
-        self._announce(link, decisions)
+        self._send_decisions(link, decisions)
 
-    def _announce(self, link, decisions):
+    def _send_decisions(self, link, decisions):
         for each in decisions:
-            at = self.now + MESSAGE
-            self.push(at, self._hear, link, each.ticket, each.verdict)
+            at = self.now + MESSAGE_DELAY
+            self.push(at, self._receive, link, each.ticket, each.verdict)
 
-    def _hear(self, link, ticket, verdict):
+    def _receive(self, link, ticket, verdict):
         job = self._pending.get(ticket)
         if job is None:
             return
@@ -176,23 +182,23 @@
         if verdict is Verdict.GRANTED:
             self._send(job, link)
         else:
-            self.ends.append((job.at, False, "refused"))
+            self.results.append((job.at, False, "refused"))
 
-    def _miss(self, link, job):
+    def _time_out(self, link, job):
         if self._pending.get(job.ticket) is job and job.sent_at == 0.0:
             del self._pending[job.ticket]
-            self.hosts[job.host].silent[link] = self.now + SILENT
+            self.hosts[job.host].silent[link] = self.now + SILENT_SECONDS
             job.ticket = None
-            self._go_alone(job)
+            self._send_by_window(job)
 
-    def _go_alone(self, job):
+    def _send_by_window(self, job):
         windows = self.hosts[job.host].windows
         window = windows.setdefault(job.upstream, Window(SLOTS))
         if window.is_free(self.now):
             window.in_flight += 1
             self._send(job, None)
         else:
-            self.ends.append((job.at, False, "refused"))
+            self.results.append((job.at, False, "refused"))
 
     def _send(self, job, link):
         upstream = self.upstreams[job.upstream]
@@ -202,7 +208,7 @@
         elif len(upstream.waiting) < QUEUE:
             upstream.waiting.append((job, link))
         else:
-            self.ends.append((job.at, False, "reset"))
+            self.results.append((job.at, False, "reset"))
             self._finish(upstream, job, link)
 
     def _begin(self, upstream, job, link):
@@ -214,7 +220,7 @@
         if upstream.waiting:
             self._begin(upstream, *upstream.waiting.pop(0))
         in_time = self.now - job.at <= OBJECTIVE
-        self.ends.append((job.at, in_time, "answered"))
+        self.results.append((job.at, in_time, "answered"))
         self._finish(upstream, job, link)
 
     def _finish(self, upstream, job, link):
@@ -225,16 +231,16 @@
             window.note_end(WORK, self.now)
             return
         lender = self.by_link[link]
-        if lender.lives:
+        if lender.alive:
             seconds = self.now - job.sent_at
-            self._announce(
+            self._send_decisions(
                 link,
                 lender.lender.end(job.ticket, seconds, waiting, self.now),
             )
 
     def count(self, began, ended, how="answered"):
-        """Return the share that ended so, and in time if answered."""
-        some = [each for each in self.ends if began <= each[0] < ended]
+        """Return the share that ended as given, and in time if answered."""
+        some = [each for each in self.results if began <= each[0] < ended]
         good = [
             each
             for each in some
@@ -243,49 +249,49 @@
         return len(good) / len(some)
 
 
-class TestCrowd(testtools.TestCase):
+class TestLenderFailover(testtools.TestCase):
     def test_each_data_centre_has_its_lenders(self):
-        crowd = Crowd(6.0).run()
+        simulation = Simulation(6.0).run()
         for centre in CENTRES:
             lenders = [
                 each
-                for each in crowd.roster.lenders.hosts
+                for each in simulation.roster.lenders.hosts
                 if each.data_centre == centre
             ]
             self.assertEqual(1, len(lenders))
-        self.assertGreater(crowd.count(3.0, 6.0), 0.8)
-        self.assertEqual(0.0, crowd.count(3.0, 6.0, "reset"))
+        self.assertGreater(simulation.count(3.0, 6.0), 0.8)
+        self.assertEqual(0.0, simulation.count(3.0, 6.0, "reset"))
 
     def test_loss_of_a_lender_costs_its_queue_for_two_seconds(self):
         """One of five lenders is killed.
 
-        Who asked it hears nothing for 0.12 s and goes by its host's window,
-        like all who come next, until the leader has named another host.
-        Nobody is cut off from the upstreams, and nobody is reset.
+        Hosts get no response from it for 0.12 s and then use their own
+        windows, until the leader has appointed another host. No host loses
+        access to the upstreams, and no request is reset.
         """
-        crowd = Crowd(16.0)
+        simulation = Simulation(16.0)
 
         def kill():
-            lost = crowd.roster.lenders.hosts[0].link
-            crowd.by_link[lost].lives = False
+            lost = simulation.roster.lenders.hosts[0].link
+            simulation.by_link[lost].alive = False
 
-        crowd.push(8.0, kill)
-        crowd.run()
-        usual = crowd.count(4.0, 8.0)
-        self.assertGreater(crowd.count(8.0, 10.5), usual - 0.08)
-        self.assertGreater(crowd.count(11.0, 16.0), usual - 0.03)
-        self.assertLess(crowd.count(8.0, 10.5, "reset"), 0.01)
+        simulation.push(8.0, kill)
+        simulation.run()
+        usual = simulation.count(4.0, 8.0)
+        self.assertGreater(simulation.count(8.0, 10.5), usual - 0.08)
+        self.assertGreater(simulation.count(11.0, 16.0), usual - 0.03)
+        self.assertLess(simulation.count(8.0, 10.5, "reset"), 0.01)
 
     def test_loss_of_all_lenders_at_once(self):
-        """A power cut ends all five; the hosts' windows serve meanwhile."""
-        crowd = Crowd(16.0)
+        """A power failure stops all five, and hosts use their windows."""
+        simulation = Simulation(16.0)
 
         def kill():
-            for each in crowd.roster.lenders.hosts:
-                crowd.by_link[each.link].lives = False
-
-        crowd.push(8.0, kill)
-        crowd.run()
-        usual = crowd.count(4.0, 8.0)
-        self.assertGreater(crowd.count(8.0, 10.5), usual - 0.25)
-        self.assertGreater(crowd.count(11.0, 16.0), usual - 0.04)
+            for each in simulation.roster.lenders.hosts:
+                simulation.by_link[each.link].alive = False
+
+        simulation.push(8.0, kill)
+        simulation.run()
+        usual = simulation.count(4.0, 8.0)
+        self.assertGreater(simulation.count(8.0, 10.5), usual - 0.25)
+        self.assertGreater(simulation.count(11.0, 16.0), usual - 0.04)
--- a/tests/core/requests/test_loadbalancing.py
+++ b/tests/core/requests/test_loadbalancing.py
@@ -1,4 +1,4 @@
-"""Tests of the choice among equal upstreams."""
+"""Tests of the load balancing among upstreams."""
 
 import collections
 import random
@@ -24,7 +24,7 @@
 
 
 class TestChooseUpstream(testtools.TestCase):
-    """The fastest way at the least price; a queue outweighs prices."""
+    """The fastest upstream is chosen; queues outweigh penalties."""
 
     def choose(self, *candidates):
         source = random.Random(1)
@@ -34,8 +34,8 @@
         return chosen.most_common(1)[0][0]
 
     def test_kept_connection_goes_before_a_new_one(self):
-        # A host of sixty sends three requests a second to forty upstreams.
-        # Visiting each in turn it would open a connection for each request.
+        # One of sixty hosts sends three requests per second to forty
+        # upstreams. With round-robin, each would need a new connection.
         others = [make_candidate(f"u-{n}", connected=False) for n in range(9)]
         self.assertEqual("kept", self.choose(make_candidate("kept"), *others))
 
@@ -85,9 +85,9 @@
         return chosen.most_common(1)[0][0]
 
     def test_large_body_stays_near_a_queue_that_it_can_bear(self):
-        # Uploads of 60 KB crossed two times in three, for a few
-        # milliseconds less of queue: 0.8 MB/s on links that all else that
-        # crosses needs, and as many bodies lost at each cut.
+        # Two thirds of 60 KB uploads went to another data centre for a queue
+        # that was a few milliseconds shorter. That put 0.8 MB/s on links
+        # needed by other traffic, and each partition lost as many bodies.
         self.assertEqual("near", self.choose(60_000, queue=5.0))
 
     def test_it_leaves_before_the_queue_makes_it_late(self):
--- a/tests/core/requests/test_operations.py
+++ b/tests/core/requests/test_operations.py
@@ -1,4 +1,4 @@
-"""Tests of operation ids."""
+"""Tests of operation ids (idempotency keys)."""
 
 import testtools
 
@@ -46,9 +46,9 @@
         self.assertIs(Admission.RUN, self.judge(operation, wall))
 
     def test_id_from_before_the_tenure_is_lost(self):
-        # The caller was told unknown when a keeper was killed and repeats
-        # its alert. The successor can not know whether it ran; running it
-        # could send a second notice.
+        # A keeper was killed, and the caller got an unknown outcome and
+        # repeats its alert. The next keeper cannot know whether the alert
+        # ran; running it could send a second notification.
         operation = make_operation_id(START - 5)
         self.assertIs(Admission.LOST, self.judge(operation, START + 1))
 
@@ -61,7 +61,7 @@
         self.assertIs(Admission.RUN, self.judge(operation, START, True))
 
     def test_orders_of_another_keeper_end_the_tenure(self):
-        # Two keepers by turns: what ran at the other is not known here.
+        # Two keepers alternate: what ran at the other is not known here.
         operation = make_operation_id(START + 10)
         self.log.end_tenures()
         self.log.begin_tenure(SHARD, Epoch(1), START + 20)
--- a/tests/core/requests/test_outcomes.py
+++ b/tests/core/requests/test_outcomes.py
@@ -1,4 +1,4 @@
-"""Tests of the rules that keep outcomes honest."""
+"""Tests of the rules that determine outcomes."""
 
 import testtools
 
@@ -11,10 +11,10 @@
 
 class OutcomeTest(testtools.TestCase):
     def test_not_run_only_before_the_hand_over_or_when_declined(self):
-        told = {phase: judge_failure(phase) for phase in Phase}
+        found = {phase: judge_failure(phase) for phase in Phase}
         self.assertEqual(
             {Phase.ACCEPTED, Phase.QUEUED, Phase.DECLINED},
-            {p for p, outcome in told.items() if outcome is Outcome.NOT_RUN},
+            {p for p, outcome in found.items() if outcome is Outcome.NOT_RUN},
         )
 
     def test_unknown_is_sent_again_only_when_idempotent(self):
@@ -24,9 +24,10 @@
         self.assertFalse(may_resend(Outcome.ANSWERED, True))
 
     def test_refused_retry_does_not_hide_an_unknown_attempt(self):
-        # An entry lost the link to a keeper that had its read, tried again
-        # and found the data centre cut off. The second attempt was not
-        # run; the first may have been, so "not run" would be false.
+        # An entry process lost the link to a keeper that had received its
+        # read, retried and found the data centre cut off. The second attempt
+        # was not run, but the first may have been, so "not run" would be
+        # wrong.
         self.assertIs(
             Outcome.UNKNOWN,
             combine_outcomes(Outcome.UNKNOWN, Outcome.NOT_RUN),
--- a/tests/core/requests/test_overdue.py
+++ b/tests/core/requests/test_overdue.py
@@ -1,4 +1,4 @@
-"""Tests of telling callers who come again from others."""
+"""Tests of the detection of callers that retry."""
 
 import testtools
 
@@ -8,10 +8,10 @@
 class TestCallerAges(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.ages = OverdueDetector()
+        self.detector = OverdueDetector()
 
     def is_overdue(self, left, now=0.0, route="map"):
-        return self.ages.is_overdue(route, left, 0.6, now)
+        return self.detector.is_overdue(route, left, 0.6, now)
 
     def test_less_time_left_than_others_begin_with(self):
         self.assertFalse(self.is_overdue(4.0))
--- a/tests/core/requests/test_places.py
+++ b/tests/core/requests/test_places.py
@@ -1,4 +1,4 @@
-"""Tests of places at upstreams that one host lends to all others."""
+"""Tests of the places at upstreams that one host lends to all others."""
 
 import heapq
 import itertools
@@ -21,7 +21,7 @@
 
 UPSTREAM = IncarnationName("map-1")
 SLOTS = 2
-# What the upstream holds back before it resets.
+# Requests that the upstream queues before it resets connections.
 QUEUE = 8
 HOSTS = 195
 URGENT, USUAL = 1, 2
@@ -30,7 +30,7 @@
 DEADLINE = {URGENT: 5.0, USUAL: 4.0}
 
 
-def name_ticket(number, host="10.0.0.1:7000"):
+def make_ticket(number, host="10.0.0.1:7000"):
     return Ticket(LinkAddress(host), number)
 
 
@@ -39,7 +39,7 @@
 
 
 class TestLender(testtools.TestCase):
-    """Order, refusals, and places that nobody gives back."""
+    """Order, refusals, and places that are not returned."""
 
     def setUp(self):
         super().setUp()
@@ -48,13 +48,13 @@
     def ask(self, number, priority=USUAL, left=0.5, now=0.0):
         return list_verdicts(
             self.lender.ask(
-                name_ticket(number), UPSTREAM, SLOTS, priority, left, now
+                make_ticket(number), UPSTREAM, SLOTS, priority, left, now
             )
         )
 
     def end(self, number, seconds=0.2, waiting=0, now=0.1):
         return list_verdicts(
-            self.lender.end(name_ticket(number), seconds, waiting, now)
+            self.lender.end(make_ticket(number), seconds, waiting, now)
         )
 
     def test_one_place_more_than_slots(self):
@@ -67,17 +67,17 @@
         for number in (1, 2, 3, 4):
             self.ask(number)
         decisions = self.lender.ask(
-            name_ticket(1, "10.0.0.2:7000"), UPSTREAM, SLOTS, URGENT, 0.5, 0.0
+            make_ticket(1, "10.0.0.2:7000"), UPSTREAM, SLOTS, URGENT, 0.5, 0.0
         )
         self.assertEqual([(1, Verdict.QUEUED)], list_verdicts(decisions))
-        granted = self.lender.end(name_ticket(2), 0.2, 0, 0.1)
+        granted = self.lender.end(make_ticket(2), 0.2, 0, 0.1)
         self.assertEqual("10.0.0.2:7000", granted[0].ticket.holder)
 
     def test_hopeless_wait_is_refused_at_once_with_a_time(self):
         for number in range(9):
             self.ask(number, left=1.0)
         decisions = self.lender.ask(
-            name_ticket(9), UPSTREAM, SLOTS, USUAL, 0.5, 0.0
+            make_ticket(9), UPSTREAM, SLOTS, USUAL, 0.5, 0.0
         )
         self.assertIs(Verdict.REFUSED, decisions[0].verdict)
         self.assertAlmostEqual(0.5, decisions[0].retry_after, 1)
@@ -92,11 +92,11 @@
         self.assertEqual([(5, Verdict.GRANTED)], self.end(1))
 
     def test_place_of_a_lost_host_comes_back(self):
-        """The place of a dead host is lent again.
+        """The place of a crashed host is lent again.
 
-        A host dies while its requests run: nobody gives their places
-        back, and all who come later would be refused for good. After the
-        time of a loan they are lent again.
+        A host crashes while its requests run and does not return their
+        places. Without the expiry of loans, all later requests would be
+        refused permanently.
         """
         for number in (1, 2, 3):
             self.ask(number)
@@ -114,11 +114,11 @@
         self.assertEqual([(4, Verdict.QUEUED)], self.ask(4))
 
     def test_requests_sent_without_a_place_take_slots(self):
-        """The upstream's own queue counts.
+        """The queue at the upstream is taken into account.
 
-        A host that does not hear the lender sends by its own window.
-        What waits at the upstream then gets the slot that became free; a
-        place lent for it would only lengthen the queue there.
+        A host that gets no response from the lender sends by its own window.
+        A request queued at the upstream then gets the slot that became free;
+        lending a place for that slot would only lengthen the queue there.
         """
         for number in (1, 2, 3, 4):
             self.ask(number)
@@ -152,7 +152,7 @@
 
 
 def draw_arrivals(load, seconds, seed, urgent=0.26):
-    """Return requests that ask for a multiple of the upstream's work."""
+    """Return requests whose total work is ``load`` times the capacity."""
     source = random.Random(seed)
     mean = urgent * WORK[URGENT] + (1 - urgent) * WORK[USUAL]
     now = 0.0
@@ -167,7 +167,7 @@
 
 
 class Upstream:
-    """Two slots, eight requests that wait in turn, a reset beyond."""
+    """Two slots and a queue of eight requests; resets any others."""
 
     def __init__(self, push):
         self._push = push
@@ -191,7 +191,7 @@
 
 
 class Replay:
-    """All hosts before one upstream, in passed-in time."""
+    """Simulates all hosts and one upstream, in simulated time."""
 
     def __init__(self, arrivals):
         self._events = []
@@ -225,7 +225,7 @@
 
 
 class WindowReplay(Replay):
-    """Each host goes by its own window."""
+    """Each host limits its requests by its own window."""
 
     def __init__(self, arrivals):
         super().__init__(arrivals)
@@ -248,7 +248,7 @@
         window.note_end(0.2, now)
 
 
-class LentReplay(Replay):
+class LenderReplay(Replay):
     """Each host asks the lender for a place."""
 
     def __init__(self, arrivals):
@@ -258,7 +258,7 @@
         self._sent_at = {}
 
     def arrive(self, arrival, now):
-        ticket = name_ticket(len(self._asked), f"host-{arrival.host}")
+        ticket = make_ticket(len(self._asked), f"host-{arrival.host}")
         self._asked[ticket] = arrival
         left = 0.9 * OBJECTIVE[arrival.priority]
         self.settle(
@@ -287,8 +287,8 @@
         self.settle(decisions, now)
 
 
-class DistantReplay(LentReplay):
-    """A place takes a while from the end of one request to the next."""
+class DelayedReplay(LenderReplay):
+    """The transfer of a place from one host to the next takes time."""
 
     gap = 0.006
 
@@ -311,7 +311,7 @@
         if arrival.host >= 0:
             super().arrive(arrival, now)
             return
-        # The word of the lender has reached the host.
+        # The decision of the lender has reached the host.
         self.tallies[arrival.priority].asked -= 1
         super().send(arrival, now)
 
@@ -321,7 +321,7 @@
         return True
 
     def end(self, arrival, now):
-        # Its slot was in use until now, and is free already.
+        # Its slot was in use until now but is already counted as free.
         self._note_idle(now, freed=1)
         super().end(arrival, now)
 
@@ -332,29 +332,29 @@
         self._noted = now
 
 
-class ReturningReplay(LentReplay):
-    """Refused callers come again as they are told, twice at most."""
+class RetryReplay(LenderReplay):
+    """Refused callers retry after the given delay, at most twice."""
 
     retries = 2
 
-    def __init__(self, arrivals, tell, ages=False):
+    def __init__(self, arrivals, compute_delay, rank_overdue=False):
         super().__init__(arrivals)
-        self._tell = tell
-        self._ages = ages
+        self._compute_delay = compute_delay
+        self._rank_overdue = rank_overdue
         self._tries = {}
         self.failed = 0
 
     def rank(self, arrival, now):
         late = now - arrival.at > OBJECTIVE[arrival.priority]
-        return rank_request(arrival.priority, self._ages and late)
+        return rank_request(arrival.priority, self._rank_overdue and late)
 
     def settle(self, decisions, now):
         super().settle(decisions, now)
         for each in decisions:
             if each.verdict is Verdict.REFUSED:
-                self._come_again(each, now)
+                self._retry(each, now)
 
-    def _come_again(self, decision, now):
+    def _retry(self, decision, now):
         arrival = self._asked[decision.ticket]
         tries = self._tries.get(id(arrival), 0) + 1
         self._tries[id(arrival)] = tries
@@ -362,12 +362,12 @@
             self.failed += 1
             return
         left = arrival.at + DEADLINE[arrival.priority] - now
-        told = self._tell(decision.retry_after)
-        self.push(now + min(left / 3, told), "arrival", arrival)
+        delay = self._compute_delay(decision.retry_after)
+        self.push(now + min(left / 3, delay), "arrival", arrival)
 
 
 def draw_swinging_arrivals(load, seconds, seed):
-    """Return requests whose load swings by 0.6 around a mean in 6 s."""
+    """Return requests whose load varies by 60% with a period of 6 s."""
     source = random.Random(seed)
     return [
         each
@@ -377,24 +377,24 @@
 
 
 class TestManyHosts(testtools.TestCase):
-    """195 hosts before two slots: what windows can not know.
+    """195 hosts share two slots, which windows of single hosts cannot handle.
 
-    A host asks one upstream once in half a minute, so its window never
-    learns that others have filled it. Callers see queues at the upstream,
-    late answers for all, and at the worst resets, after which an alert's
-    caller can only be told that it may have run.
+    A host sends one request to the upstream in half a minute, so its window
+    does not adapt to the load of the others. The upstream's queue grows, all
+    answers are late, and some requests are reset, so that the outcome of an
+    alert is unknown.
     """
 
     def replay(self, kind, load, seed=1):
         return kind(draw_arrivals(load, 120.0, seed)).run()
 
     def test_usual_load_is_answered_in_time(self):
-        tallies = self.replay(LentReplay, 0.65)
+        tallies = self.replay(LenderReplay, 0.65)
         self.assertGreater(tallies[URGENT].share, 0.9)
         self.assertGreater(tallies[USUAL].share, 0.85)
 
     def test_overload_resets_nobody_and_keeps_urgent_requests(self):
-        lent = self.replay(LentReplay, 1.3)
+        lent = self.replay(LenderReplay, 1.3)
         alone = self.replay(WindowReplay, 1.3)
         self.assertEqual(0, lent[URGENT].reset + lent[USUAL].reset)
         self.assertGreater(alone[URGENT].reset + alone[USUAL].reset, 50)
@@ -404,48 +404,48 @@
         self.assertLess(alone[USUAL].share, 0.25)
 
     def test_no_slot_is_idle_while_requests_wait(self):
-        """Far more is asked for than the upstream can do.
+        """The load far exceeds the capacity of the upstream.
 
-        A place that comes back is lent to another host, whose request
-        arrives some milliseconds later. Its slot does nothing meanwhile, a
-        part of each request's time, and callers are refused for it.
+        A returned place is lent to another host, whose request arrives some
+        milliseconds later. If the slot were idle for that part of each
+        request's time, requests would be refused for the lost capacity.
         """
         arrivals = draw_arrivals(2.0, 120.0, 1)
-        replay = DistantReplay(arrivals)
+        replay = DelayedReplay(arrivals)
         replay.run()
         self.assertLess(replay.idle / (SLOTS * arrivals[-1].at), 0.005)
         self.assertEqual(0, sum(t.reset for t in replay.tallies.values()))
 
     def test_refused_callers_come_back_when_a_peak_is_over(self):
-        """Load swings around nine tenths of the upstream's work.
+        """The load varies around 90% of the capacity of the upstream.
 
-        Callers who come back after a quarter of a second meet the same
+        Callers that retry after a quarter of a second do so during the same
         peak, are refused three times within it and fail.
         """
         failed = {}
-        for tell in (retry_after_queue, retry_after_place):
+        for compute_delay in (retry_after_queue, retry_after_place):
             arrivals = draw_swinging_arrivals(0.9, 120.0, 1)
-            replay = ReturningReplay(arrivals, tell)
+            replay = RetryReplay(arrivals, compute_delay)
             replay.run()
-            failed[tell] = replay.failed / len(arrivals)
+            failed[compute_delay] = replay.failed / len(arrivals)
         self.assertLess(failed[retry_after_place], 0.09)
         self.assertLess(
             failed[retry_after_place], 0.75 * failed[retry_after_queue]
         )
 
     def test_late_callers_do_not_make_others_late(self):
-        """Far more is asked for than the upstream can do.
+        """The load far exceeds the capacity of the upstream.
 
-        Refused callers come back late and take places of those who come for
-        the first time, who are refused for it and come back late as well.
+        Refused callers that retry late would take the places of first
+        attempts, which are then refused and retry late as well.
         """
         in_time = {}
         failed = {}
-        for ages in (False, True):
+        for rank_overdue in (False, True):
             arrivals = draw_arrivals(1.4, 120.0, 1)
-            replay = ReturningReplay(arrivals, retry_after_place, ages)
+            replay = RetryReplay(arrivals, retry_after_place, rank_overdue)
             usual = replay.run()[USUAL]
-            in_time[ages] = usual.in_time / usual.asked
-            failed[ages] = replay.failed / len(arrivals)
+            in_time[rank_overdue] = usual.in_time / usual.asked
+            failed[rank_overdue] = replay.failed / len(arrivals)
         self.assertGreater(in_time[True], 1.4 * in_time[False])
         self.assertLess(failed[True], failed[False] + 0.03)
--- a/tests/core/requests/test_pushback.py
+++ b/tests/core/requests/test_pushback.py
@@ -1,4 +1,4 @@
-"""Tests of what upstreams ask of those who send to them."""
+"""Tests of backpressure signalled by upstreams."""
 
 import testtools
 
@@ -13,7 +13,7 @@
         super().setUp()
         self.backoffs = Backoffs()
 
-    def test_rest_ends_by_itself(self):
+    def test_backoff_ends_by_itself(self):
         self.assertTrue(self.backoffs.note(FIRST, 3.0, 10.0))
         self.assertEqual(2.0, self.backoffs.find_remaining(FIRST, 11.0))
         self.assertEqual({FIRST}, self.backoffs.list_active(12.9))
@@ -21,13 +21,13 @@
         self.assertEqual(set(), self.backoffs.list_active(13.0))
         self.assertTrue(self.backoffs.note(FIRST, 1.0, 14.0))
 
-    def test_shorter_rest_does_not_end_a_longer_one(self):
-        # Guards against answers that overtake each other.
+    def test_shorter_backoff_does_not_end_a_longer_one(self):
+        # Guards against answers that arrive out of order.
         self.backoffs.note(FIRST, 3.0, 10.0)
         self.assertFalse(self.backoffs.note(FIRST, 0.5, 10.1))
         self.assertAlmostEqual(2.9, self.backoffs.find_remaining(FIRST, 10.1))
 
-    def test_next_start_has_asked_for_nothing(self):
+    def test_next_incarnation_has_no_backoff(self):
         self.backoffs.note(FIRST, 3.0, 10.0)
         self.assertEqual(0.0, self.backoffs.find_remaining(SECOND, 10.0))
         both = (FIRST, SECOND)
--- a/tests/core/requests/test_quarantine.py
+++ b/tests/core/requests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Tests of telling a deadly request from those beside it."""
+"""Tests of the quarantine of requests that crash upstreams."""
 
 import itertools
 import random
@@ -18,13 +18,13 @@
 
 
 def lose(quarantine, at, *suspects, upstream=None, alone=()):
-    """Let an upstream end under some requests."""
+    """Record the crash of an upstream that was running some requests."""
     name = f"u{at}" if upstream is None else upstream
     return quarantine.note_loss(name, suspects, at, at, alone)
 
 
 def copy(quarantine, now):
-    """Return what a report becomes on its way to another host."""
+    """Return a report as decoded by another host."""
     data = msgspec.msgpack.encode(quarantine.report(now))
     return msgspec.msgpack.decode(data, type=QuarantineReport)
 
@@ -44,7 +44,7 @@
         self.assertTrue(self.quarantine.may_retry(DEADLY))
 
     def test_held_after_three_losses(self):
-        """A caller comes again each four seconds; each time one is lost."""
+        """A caller retries every four seconds and crashes an upstream."""
         for at in (0.0, 4.0):
             lose(self.quarantine, at, DEADLY)
             self.assertEqual(0.0, self.find(DEADLY, at))
@@ -53,10 +53,11 @@
         self.assertEqual(200.0, self.find(DEADLY, 108.0))
 
     def test_host_sends_it_again_itself_after_the_first_loss_only(self):
-        """A read was beside a deadly request and is sent to the next one.
+        """A read that ran beside a crashing request is retried once.
 
-        After a second loss under it the host leaves it to its caller: a
-        deadly one would take two upstreams with each attempt.
+        After its second loss, the host leaves retries to the caller: with
+        retries by the host, each attempt of a crashing request would crash
+        two upstreams.
         """
         lose(self.quarantine, 0.0, DEADLY)
         self.assertTrue(self.quarantine.may_retry(DEADLY))
@@ -69,10 +70,10 @@
         self.assertEqual(0.0, self.find(DEADLY, 0.8))
 
     def test_innocent_that_ended_well_in_between_goes_free(self):
-        """Two requests about one hot key are at its owner together.
+        """Two requests for one hot key run together at its owner.
 
-        The owner ends, the key moves, and both wait for the next owner. The
-        innocent one is answered there once, while the other is not.
+        The owner crashes, the key moves, and both run at the next owner. The
+        innocent one is answered there once, the other one never.
         """
         lose(self.quarantine, 0.0, DEADLY, BESIDE)
         lose(self.quarantine, 4.0, DEADLY, BESIDE)
@@ -83,10 +84,10 @@
         self.assertGreater(self.find(DEADLY, 12.0), 0.0)
 
     def test_held_as_soon_as_all_beside_it_are_cleared(self):
-        """Three losses, each with one other; the others end well later.
+        """Each of three losses has one other suspect, which succeeds later.
 
-        What was half of the blame is then all of it, and the next attempt
-        of the deadly request comes before the next loss.
+        The crashing request then gets all of the blame instead of half, and
+        must be quarantined before its next attempt causes another loss.
         """
         for number, at in enumerate((0.0, 4.0, 8.0)):
             lose(self.quarantine, at, DEADLY, f"{BESIDE}-{number}")
@@ -96,10 +97,10 @@
         self.assertGreater(self.find(DEADLY, 12.0), 0.0)
 
     def test_company_makes_each_loss_say_less(self):
-        """Several are at each lost upstream, and none ends well in between.
+        """Each loss has several suspects, and none succeeds in between.
 
-        Three losses could be chance; the fifth is the last that an operator
-        bears, with two sends after the third.
+        Three losses could be chance; the fifth, with two sends after the
+        third, is the last that operators accept.
         """
         others = [f"{BESIDE}-{number}" for number in range(6)]
         for at in (0.0, 4.0, 8.0, 12.0):
@@ -109,7 +110,7 @@
         self.assertGreater(self.find(DEADLY, 16.0), 0.0)
 
     def test_run_without_other_suspects_needs_no_further_loss(self):
-        # Guards against a fourth and fifth loss for the requests beside it.
+        # Guards against a fourth and fifth loss because of other suspects.
         others = [f"{BESIDE}-{number}" for number in range(6)]
         lose(self.quarantine, 0.0, DEADLY, *others)
         lose(self.quarantine, 4.0, DEADLY, *others)
@@ -120,7 +121,7 @@
             self.assertEqual(0.0, self.find(each, 8.0))
 
     def test_chance_alone_holds_nobody(self):
-        """Upstreams end of themselves, each under two of 200 callers."""
+        """Upstreams crash on their own, each with two of 200 requests."""
         source = random.Random(5)
         callers = [f"caller-{number}" for number in range(200)]
         for at in range(0, 400, 8):
@@ -130,10 +131,10 @@
         self.assertEqual([], self.quarantine.list_stays(400.0))
 
     def test_release_that_crashes_on_everything_holds_few(self):
-        """All upstreams crash on whatever they run until a rollback.
+        """All upstreams crash on every request until a rollback.
 
-        Held back were then the requests of all callers, for minutes after
-        the rollback. Beyond a number nobody is: it is not the requests.
+        Without a limit of stays, the requests of all callers would be refused
+        for minutes after the rollback, although they are not the cause.
         """
         for fingerprint in (f"r{number}" for number in range(120)):
             for at in (0.0, 4.0, 8.0):
@@ -154,7 +155,7 @@
         lose(self.quarantine, 910.0, DEADLY)
         self.assertEqual(1200.0, self.find(DEADLY, 910.0))
 
-    def test_stays_have_a_longest(self):
+    def test_length_of_stays_is_limited(self):
         now = 0.0
         for _ in range(12):
             lose(self.quarantine, now, DEADLY)
@@ -180,7 +181,7 @@
         self.assertTrue(self.quarantine.idle)
 
     def test_memory_is_bounded(self):
-        """Thousands of upstreams end under thousands of requests."""
+        """Thousands of upstreams crash while running thousands of requests."""
         for number in range(3000):
             suspects = [f"r{number}-{each}" for each in range(50)]
             lose(self.quarantine, number / 100.0, *suspects)
@@ -191,10 +192,10 @@
 
 
 class TestCopies(testtools.TestCase):
-    """Hosts see different losses and tell each other."""
+    """Hosts observe different losses and exchange reports."""
 
     def test_losses_of_three_hosts_add_up(self):
-        """The caller comes to another host each time, each sees one loss."""
+        """The caller uses another host each time, so each sees one loss."""
         hosts = [Quarantine() for _ in range(3)]
         for at, host in zip((0.0, 4.0, 8.0), hosts, strict=True):
             lose(host, at, DEADLY)
@@ -227,11 +228,11 @@
         )
 
     def test_word_of_a_loss_that_is_held_up(self):
-        """A host is frozen, or a cut holds up what was sent to it.
+        """A host is frozen, or a partition delays the reports sent to it.
 
-        The same word of one loss arrives seconds apart, each time with the
-        age that it had when it was sent. Taken for two more losses, it held
-        a request under which one upstream had ended.
+        The same report of one loss arrives several times, seconds apart,
+        with the age that the loss had when it was sent. When counted as two
+        more losses, it quarantined a request that had crashed one upstream.
         """
         seen, other = Quarantine(), Quarantine()
         lose(seen, 0.0, BESIDE)
@@ -251,7 +252,7 @@
         self.assertTrue(other.idle)
 
     def test_late_word_does_not_undo_a_clearance(self):
-        """A host behind a cut knows three losses, but not the clearance."""
+        """A partitioned host knows three losses, but not the clearance."""
         cut, other = Quarantine(), Quarantine()
         for at in (0.0, 4.0, 8.0):
             lose(cut, at, DEADLY)
@@ -266,9 +267,9 @@
     def test_record_of_the_store_ends_a_stay_no_later_than_hosts_know(self):
         """A host reads the record long after it was written.
 
-        It can't know how long ago that was and counts what was left anew.
-        The others know, and their word shortens it; its own does not
-        lengthen theirs.
+        It cannot know how long ago that was and restarts the remaining time.
+        The reports of the other hosts shorten its stay; its own report does
+        not lengthen theirs.
         """
         known, started = Quarantine(), Quarantine()
         for at in (0.0, 4.0, 8.0):
@@ -285,7 +286,7 @@
         self.assertFalse(record.has_same_content(known.record(309.0)))
 
     def test_losses_are_known_after_all_hosts_were_lost(self):
-        # Guards against copies that run at once after a restart of all.
+        # Guards against copies that run at once after a restart of all hosts.
         known, started = Quarantine(), Quarantine()
         for at in (0.0, 4.0):
             lose(known, at, DEADLY)
@@ -308,8 +309,8 @@
         self.assertTrue(started.idle)
         self.assertEqual(known.version, started.version)
 
-    def test_record_with_figures_that_nobody_wrote(self):
-        # Another writer, or an older version, may have left anything there.
+    def test_record_with_implausible_figures(self):
+        # Another writer or an older version may have left any value there.
         quarantine = Quarantine()
         for number, left in ((5000, 1e300), (-3, -1e300), (0, 50.0)):
             stay = RecordedStay(f"f{number}", number, left)
--- a/tests/core/requests/test_queues.py
+++ b/tests/core/requests/test_queues.py
@@ -1,4 +1,4 @@
-"""Tests of an upstream's queue."""
+"""Tests of the queue of an upstream."""
 
 import testtools
 
