--- a/tests/core/requests/test_ratelimits.py
+++ b/tests/core/requests/test_ratelimits.py
@@ -1,4 +1,4 @@
-"""Tests of limits that upstreams name for all hosts together."""
+"""Tests of rate limits that upstreams state for all hosts together."""
 
 import bisect
 import heapq
@@ -20,11 +20,12 @@
 
 UPSTREAM = IncarnationName("map-1")
 SLOTS, URGENT, USUAL = 3, 2, 4
-# Seconds and requests that the platform grants beyond a limit.
+# Window in seconds, factor and additional requests by which the platform
+# allows a limit to be exceeded.
 WINDOW, OVERRUN, SLACK = 4.0, 1.5, 5.0
 WORK = 0.16
 PATIENCE = 0.5
-# Requests a second that the upstream's slots bear, one more at its door.
+# Requests per second that the upstream can handle, with one in its queue.
 MOST_WORK = (SLOTS + 1) / WORK
 
 
@@ -33,7 +34,7 @@
 
 
 def count_most(times):
-    """Return the most that lie within any one window."""
+    """Return the maximum number of sends within any one window."""
     times = sorted(times)
     return max(
         (
@@ -45,7 +46,7 @@
 
 
 class TestChooseLimit(testtools.TestCase):
-    """The word that was written last holds, in whatever order they come."""
+    """The limit that was written last applies, in any order of arrival."""
 
     def test_answer_to_a_later_request_ends_a_limit(self):
         known = StatedLimit(2.2, 0.0, 1.0)
@@ -53,22 +54,22 @@
         self.assertIs(said, choose_limit(known, said))
 
     def test_answer_that_was_overtaken_does_not_end_a_limit(self):
-        # Guards against an answer written before the limit that comes after.
+        # Guards against an answer written before the limit was stated.
         known = StatedLimit(2.2, 0.9, 1.0)
         said = StatedLimit(None, 0.5, 1.3)
         self.assertIs(known, choose_limit(known, said))
 
-    def test_stricter_word_holds_where_nobody_can_tell(self):
+    def test_stricter_limit_holds_when_the_order_is_unknown(self):
         high, low = StatedLimit(6.0, 0.0, 1.0), StatedLimit(1.3, 0.5, 1.5)
         self.assertIs(low, choose_limit(high, low))
         self.assertIs(low, choose_limit(low, high))
 
-    def test_late_word_changes_nothing(self):
+    def test_late_answer_changes_nothing(self):
         known, late = StatedLimit(6.0, 2.0, 2.2), StatedLimit(1.3, 0.5, 1.5)
         self.assertIs(known, choose_limit(known, late))
 
     def test_steady_answers_without_a_limit_end_it(self):
-        # Guards against requests under way that keep a limit alive for good.
+        # Guards against concurrent requests that keep a limit forever.
         known = StatedLimit(2.2, 0.0, 1.0)
         for step in range(20):
             at = 0.9 + step * 0.05
@@ -77,7 +78,7 @@
 
 
 class TestKnownLimits(testtools.TestCase):
-    def test_another_start_has_said_nothing(self):
+    def test_another_incarnation_has_no_limit(self):
         limits = KnownLimits()
         first, second = IncarnationName("u@1"), IncarnationName("u@2")
         self.assertTrue(limits.note(first, StatedLimit(2.2, 0.0, 1.0)))
@@ -104,7 +105,7 @@
         self.assertEqual(0.0, bucket.find_wait(50, 1.0))
 
     def test_limit_of_nothing_lets_one_through_at_long_intervals(self):
-        # Guards against keys that stay dark when a limit of zero has ended.
+        # Guards against keys that stay unavailable after a limit of zero ends.
         bucket = TokenBucket()
         bucket.note(StatedLimit(0.0, 0.0, 0.1), 0.1)
         bucket.take(0.1)
@@ -112,7 +113,7 @@
         self.assertEqual(0.0, bucket.find_wait(0, 10.2))
 
     def test_upstream_left_alone_for_long_gets_no_more_at_once(self):
-        # Guards against a minute's limit that is sent in one moment.
+        # Guards against sending a minute's worth of requests at once.
         bucket = TokenBucket()
         bucket.note(StatedLimit(2.2, 0.0, 0.0), 0.0)
         sent = 0
@@ -137,18 +138,18 @@
         self.assertLessEqual(count_most(sent), bound_window(rate))
 
 
-class Crowd:
-    """Hosts before one limited upstream, its lenders, and random demand.
+class Simulation:
+    """Simulates hosts, lenders and random requests for a limited upstream.
 
     Parameters
     ----------
     hosts : int
-        How many.
+        Number of hosts.
     rate : float
         Limit of the upstream.
     switched : tuple of float
-        When a second lender begins, and how long the first goes on beside
-        it, for hosts that have not heard of the change.
+        Time at which a second lender takes over, and how long some hosts
+        continue to use the first, until they have learnt of the change.
     """
 
     def __init__(self, hosts, rate, switched=(float("inf"), 0.0)):
@@ -166,12 +167,12 @@
         self.events_of = {}
 
     def choose_lender(self, host, now):
-        """Return whom a host asks; it hears of a change a while later."""
-        heard = self.switch_at + self.overlap * host / self.hosts
-        return 1 if now >= heard else 0
+        """Return which lender a host asks; it learns of a change later."""
+        informed_at = self.switch_at + self.overlap * host / self.hosts
+        return 1 if now >= informed_at else 0
 
-    def play(self, seconds=60.0):
-        """Ask three times as often as the limit allows."""
+    def run(self, seconds=60.0):
+        """Generate three times the request rate that the limit allows."""
         now = 0.0
         number = 0
         while now < seconds:
@@ -220,38 +221,38 @@
 
 
 class TestManyHosts(testtools.TestCase):
-    """Replays of three times the demand that a limit allows."""
+    """Simulations with three times the request rate that a limit allows."""
 
     def test_one_lender_keeps_to_the_limit_and_uses_it(self):
         for hosts in (8, 195):
             for rate in (0.3, 1.3, 2.2, 6.0, 50.0):
-                crowd = Crowd(hosts, rate)
-                crowd.play()
-                most = count_most(crowd.sent)
+                simulation = Simulation(hosts, rate)
+                simulation.run()
+                most = count_most(simulation.sent)
                 self.assertLessEqual(most, bound_window(rate), (hosts, rate))
                 usable = min(rate, MOST_WORK)
-                self.assertGreater(len(crowd.sent), 0.85 * usable * 60.0)
+                self.assertGreater(len(simulation.sent), 0.85 * usable * 60.0)
 
     def test_change_of_the_lender_keeps_to_the_limit(self):
-        # Guards against two lenders that each lend the whole for a while.
+        # Guards against two lenders that each use the whole limit for a while.
         for hosts in (8, 195):
             for rate in (0.3, 1.3, 2.2, 6.0, 50.0):
-                crowd = Crowd(hosts, rate, (20.0, 2.0))
-                crowd.play()
-                most = count_most(crowd.sent)
+                simulation = Simulation(hosts, rate, (20.0, 2.0))
+                simulation.run()
+                most = count_most(simulation.sent)
                 self.assertLessEqual(most, bound_window(rate), (hosts, rate))
 
     def test_urgent_requests_go_first(self):
-        crowd = Crowd(195, 6.0)
-        crowd.play()
+        simulation = Simulation(195, 6.0)
+        simulation.run()
         shares = {
-            rank: crowd.served[rank] / crowd.asked[rank]
-            for rank in crowd.asked
+            rank: simulation.served[rank] / simulation.asked[rank]
+            for rank in simulation.asked
         }
         self.assertGreater(shares[URGENT], 1.5 * shares[USUAL])
 
     def test_refused_callers_hear_when_there_is_room(self):
-        crowd = Crowd(8, 0.3)
-        crowd.play()
-        self.assertGreater(max(crowd.refused), 1.5)
-        self.assertLess(max(crowd.refused), 2.0 / 0.3 + 2.0)
+        simulation = Simulation(8, 0.3)
+        simulation.run()
+        self.assertGreater(max(simulation.refused), 1.5)
+        self.assertLess(max(simulation.refused), 2.0 / 0.3 + 2.0)
--- a/tests/core/requests/test_retries.py
+++ b/tests/core/requests/test_retries.py
@@ -1,4 +1,4 @@
-"""Tests of how many retries all hosts may make together."""
+"""Tests of the limit of the retries of all hosts together."""
 
 import testtools
 
@@ -7,16 +7,16 @@
 from sedgetide.core.requests.retries import RetryBudget
 
 
-class TestBoundBurst(testtools.TestCase):
-    """An upstream falls silent, and every host has saved up retries.
+class TestBurstLimit(testtools.TestCase):
+    """An upstream stops responding, and every host has saved retries.
 
-    Each sends its requests once more within the same second, without
-    hearing of the others. The upstreams that are left get more than the
-    deployment grants, when most of them have the least room.
+    Each host retries its requests within the same second, without knowing of
+    the others. Without a limit, the remaining upstreams would get more than
+    the deployment allows when they have the least spare capacity.
     """
 
     def spend_all(self, hosts, requests, most):
-        """Spend what was saved, restart, and spend what comes then."""
+        """Spend all saved tokens, restart, and spend all further tokens."""
         spent = 0
         for _ in range(hosts):
             old = RetryBudget(0.0, most, saved=most)
--- a/tests/core/requests/test_retryafter.py
+++ b/tests/core/requests/test_retryafter.py
@@ -1,4 +1,4 @@
-"""Tests of when a refused caller is told to come again."""
+"""Tests of the retry delays for refused callers."""
 
 import testtools
 
@@ -14,12 +14,12 @@
 from sedgetide.core.requests.retryafter import STARTUP_RETRY_DELAY
 from sedgetide.core.requests.windows import UpstreamLoad
 
-# What callers of the map honour of it: a third of the time they have left.
+# Callers of the map service wait for a third of their remaining time at most.
 DEADLINE = 4.0
 RETRIES = 2
 
 
-class TestReturns(testtools.TestCase):
+class TestRetryAfter(testtools.TestCase):
     def test_refused_caller_comes_again_when_there_is_room(self):
         free = retry_after_full_upstream(UpstreamLoad(1, 0, 2), 0.2)
         full = retry_after_full_upstream(UpstreamLoad(2, 8, 2), 0.2)
@@ -38,19 +38,21 @@
         self.assertEqual(1.5, retry_after_place(9.0))
 
     def test_callers_last_until_lost_keys_have_an_owner(self):
-        """A data centre is cut off and its keys are dark for 3.5 seconds.
+        """A data centre is cut off; its keys have no owner for 3.5 seconds.
 
-        A caller asks 1.5 seconds into it. Told to come again in a quarter
-        of a second, it had used up its retries half a second later.
+        A caller arrives after 1.5 seconds. With a retry delay of a quarter of
+        a second, it had used all its retries half a second later.
         """
-        self.assertGreater(self.come_again(1.5, retry_after_owner_loss), 3.5)
-        self.assertLess(self.come_again(1.5, lambda _: 0.25), 2.1)
+        self.assertGreater(
+            self.find_last_try(1.5, retry_after_owner_loss), 3.5
+        )
+        self.assertLess(self.find_last_try(1.5, lambda _: 0.25), 2.1)
 
-    def come_again(self, now, tell):
-        """Return when a refused caller comes for the last time."""
+    def find_last_try(self, now, compute_delay):
+        """Return the time of the last attempt of a refused caller."""
         end = now + DEADLINE
         for _ in range(RETRIES):
-            now += min(tell(now), (end - now) / 3)
+            now += min(compute_delay(now), (end - now) / 3)
         return now
 
     def test_return_is_told_from_when_the_owner_was_lost(self):
@@ -64,7 +66,7 @@
 
 
 class TestAbsence(testtools.TestCase):
-    """Since when an owner was not reached, or keys are on their way."""
+    """Start times of the absence of an owner and of the move of keys."""
 
     def test_absence_counts_from_the_first_connection_that_failed(self):
         health = UpstreamHealth()
--- a/tests/core/requests/test_routes.py
+++ b/tests/core/requests/test_routes.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of a route, a service and a request's times."""
+"""Tests of the choice of a route and a service, and of request times."""
 
 import collections
 import random
@@ -20,7 +20,7 @@
 
 
 class TestRouteTable(testtools.TestCase):
-    """Host first, then the longest prefix that ends with a slash."""
+    """Matches the host, then the longest prefix that ends with a slash."""
 
     def setUp(self):
         super().setUp()
@@ -53,7 +53,7 @@
 
 
 class TestChooseService(testtools.TestCase):
-    """Shares follow the weights; one request goes one way on all hosts."""
+    """Shares follow the weights; all hosts choose the same service."""
 
     def test_weights(self):
         shares = (Share("old", 90), Share("new", 10))
@@ -70,7 +70,7 @@
 
 
 class TestTimes(testtools.TestCase):
-    """A final answer comes at the deadline or the timeout."""
+    """The final answer is due at the deadline or the timeout."""
 
     def test_the_earlier_one_counts(self):
         route = make_route("r", "a", "/")
@@ -89,11 +89,11 @@
 
 
 class TestSharesOfWindows(testtools.TestCase):
-    """How far off its weight a part is, by chance, over 200 requests.
+    """Deviation of random shares from their weights over 200 requests.
 
-    The id of a request decides, so that hosts need not know of each other;
-    the price is chance. A part that is over 0.2 off would break a promise,
-    one that is over 0.1 off is a fault, of which a few may happen.
+    The hash of the request id decides, so that hosts need no shared state;
+    therefore shares vary at random. A deviation above 0.2 would violate a
+    guarantee; one above 0.1 is a fault, of which a few are tolerated.
     """
 
     WINDOW = 200
--- a/tests/core/requests/test_trials.py
+++ b/tests/core/requests/test_trials.py
@@ -1,4 +1,4 @@
-"""Tests of runs of suspects, one at a time over all hosts."""
+"""Tests of the runs of suspects, one at a time over all hosts."""
 
 import testtools
 
@@ -20,23 +20,23 @@
     return Ticket(LinkAddress(f"10.0.0.{host}:1"), number)
 
 
-class TestTrialDesk(testtools.TestCase):
+class TestTrialScheduler(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.desk = TrialScheduler()
+        self.scheduler = TrialScheduler()
 
     def ask(self, ticket, now, fingerprint=DEADLY, left=2.0, alone=None):
-        decisions = self.desk.ask(ticket, fingerprint, left, now, alone)
+        decisions = self.scheduler.ask(ticket, fingerprint, left, now, alone)
         return [(each.ticket, each.verdict) for each in decisions]
 
     def end(self, ticket, end, now):
         return [
             (each.ticket, each.verdict)
-            for each in self.desk.end(ticket, end, now)
+            for each in self.scheduler.end(ticket, end, now)
         ]
 
     def test_copies_of_all_hosts_run_one_at_a_time(self):
-        # Guards against a crash for each copy that is on its way.
+        # Guards against a crash for each copy in progress.
         first, *others = [make_ticket(host) for host in range(40)]
         self.assertEqual([(first, Verdict.GRANTED)], self.ask(first, 0.0))
         for each in others:
@@ -52,7 +52,7 @@
         self.assertEqual([(second, Verdict.GRANTED)], self.ask(second, 1.3))
 
     def test_copies_of_an_innocent_request_go_on_after_one_run(self):
-        # Guards against a hot key whose requests run one after the other.
+        # Guards against running all requests for a hot key one by one.
         first, *others = [make_ticket(host) for host in range(10)]
         for each in (first, *others):
             self.ask(each, 0.0, HOT)
@@ -67,7 +67,7 @@
         self.assertEqual([(hot, Verdict.GRANTED)], self.ask(hot, 0.0, HOT))
 
     def test_grave_suspects_of_a_service_run_one_after_the_other(self):
-        # Guards against a third loss that says little of each of them.
+        # Guards against a third loss that cannot be attributed to one of them.
         deadly, hot, other = (make_ticket(host) for host in (1, 2, 3))
         self.ask(deadly, 0.0, alone=MAPS)
         queued = self.ask(hot, 0.0, HOT, alone=MAPS)
@@ -79,13 +79,14 @@
         )
 
     def test_copy_behind_one_that_waited_for_another_suspect(self):
-        # Guards against an asker that hears nothing and gives the leader up.
-        deadly, grave, late, last = (make_ticket(host) for host in range(4))
+        # Guards against a host that gets no response and considers the leader
+        # lost.
+        deadly, strong, late, last = (make_ticket(host) for host in range(4))
         self.ask(deadly, 0.0, alone=MAPS)
-        self.ask(grave, 0.1, HOT, alone=MAPS)
+        self.ask(strong, 0.1, HOT, alone=MAPS)
         queued = self.ask(late, 0.2, HOT)
         self.assertEqual([(late, Verdict.QUEUED)], queued)
-        freed = self.end(grave, TrialEnd.NOT_RUN, 0.3)
+        freed = self.end(strong, TrialEnd.NOT_RUN, 0.3)
         self.assertEqual([(late, Verdict.GRANTED)], freed)
         queued = self.ask(last, 0.4, HOT)
         self.assertEqual([(last, Verdict.QUEUED)], queued)
@@ -94,7 +95,7 @@
         deadly, hot = make_ticket(1), make_ticket(2)
         self.ask(deadly, 0.0, left=1.0, alone=MAPS)
         self.ask(hot, 0.5, HOT, alone=MAPS)
-        found = [each.ticket for each in self.desk.expire(1.6)]
+        found = [each.ticket for each in self.scheduler.expire(1.6)]
         self.assertEqual([hot], found)
 
     def test_copy_that_was_not_sent_lets_the_next_one_run(self):
@@ -116,11 +117,11 @@
         )
 
     def test_run_of_a_lost_host_ends_with_its_request(self):
-        # Guards against a request that is refused for good after a host died.
+        # Guards against a permanent refusal after the crash of a host.
         first, second = make_ticket(1), make_ticket(2)
         self.ask(first, 0.0, left=2.0)
-        self.assertEqual([], self.desk.expire(2.0))
-        self.desk.expire(2.6)
+        self.assertEqual([], self.scheduler.expire(2.0))
+        self.scheduler.expire(2.6)
         self.assertEqual([(second, Verdict.GRANTED)], self.ask(second, 4.0))
         self.assertEqual([], self.end(first, TrialEnd.BROKEN, 4.1))
 
@@ -130,7 +131,7 @@
             self.ask(make_ticket(2, number), 0.0)
         refused = self.ask(make_ticket(3), 0.1)
         self.assertEqual([(make_ticket(3), Verdict.REFUSED)], refused)
-        self.desk.expire(3.0)
-        self.desk.expire(5.0)
+        self.scheduler.expire(3.0)
+        self.scheduler.expire(5.0)
         granted = self.ask(make_ticket(3), 5.1, HOT)
         self.assertEqual([(make_ticket(3), Verdict.GRANTED)], granted)
--- a/tests/core/requests/test_windowqueue.py
+++ b/tests/core/requests/test_windowqueue.py
@@ -1,4 +1,4 @@
-"""Tests of who may be sent next by a host's own window."""
+"""Tests of the queue of requests that wait for a window."""
 
 import testtools
 
@@ -43,7 +43,8 @@
         self.assertEqual(0, len(self.queue))
 
     def test_window_of_less_than_one_request_opens_later(self):
-        # Ninety hosts ask a crowded upstream: each waits between two.
+        # Ninety hosts use one overloaded upstream, and each pauses between two
+        # requests.
         for _ in range(20):
             self.queue.window.note_load(UpstreamLoad(2, 8, 2), 1.0)
         self.assertTrue(self.queue.try_enter(1.0))
--- a/tests/core/requests/test_windows.py
+++ b/tests/core/requests/test_windows.py
@@ -1,4 +1,4 @@
-"""Tests of the share of an upstream that one host takes."""
+"""Tests of the limit of requests in flight to one upstream."""
 
 import testtools
 
@@ -7,7 +7,7 @@
 
 
 class TestWindow(testtools.TestCase):
-    """It grows while nobody waits there and shrinks when many do."""
+    """The limit grows with an empty queue and shrinks with a long one."""
 
     def test_grows_to_a_bound(self):
         window = Window(2)
@@ -33,8 +33,8 @@
         self.assertGreater(window.estimate_wait(0, 0.2, 1.0), 1.0)
 
     def test_recovered_upstream_is_asked_again_soon(self):
-        # It was full and took 4 s for each request. Its callers would be
-        # refused here for over a minute after it has recovered.
+        # It was overloaded and took 4 s for each request. Without a maximum
+        # pause, callers would be refused for over a minute after its recovery.
         window = Window(2)
         for _ in range(50):
             window.note_load(UpstreamLoad(2, 6, 2), 1.0)
@@ -44,9 +44,9 @@
         self.assertTrue(window.is_free(11.1))
 
     def test_refusal_with_room_is_a_fault_and_no_lack(self):
-        # An upstream refuses half of what it gets, though nobody waits
-        # there. With a smaller share of it the hosts would refuse the other
-        # half, and its callers be served not at all.
+        # An upstream refuses half of its requests although its queue is empty.
+        # With lower limits, the hosts would refuse the other half, and no
+        # caller would be served.
         window = Window(2)
         for _ in range(10):
             window.note_refusal(UpstreamLoad(1, 0, 2))
@@ -55,9 +55,9 @@
         self.assertEqual(1, window.limit)
 
     def test_shrinks_below_one_request(self):
-        # Ninety hosts ask one upstream of ten places for its hot key. With
-        # one request each at least, eighty are reset, and an alert among
-        # them counts as one that may have run.
+        # Ninety hosts send requests for a hot key to an upstream that accepts
+        # ten. With one request each, eighty are reset, and the outcome of an
+        # alert among them is unknown.
         window = Window(2)
         for _ in range(50):
             window.note_load(UpstreamLoad(2, 6, 2), 1.0)
