--- a/sedgetide/core/configuration/policy.py
+++ b/sedgetide/core/configuration/policy.py
@@ -38,7 +38,7 @@
     attempts : int
         Maximum number of upstreams to which one request is sent.
     priority : int
-        Priority; lower is more urgent.
+        Priority; 0 is the most urgent.
     shares : tuple of Share
         Services and their weights; at least one.
     """
--- a/sedgetide/core/configuration/services.py
+++ b/sedgetide/core/configuration/services.py
@@ -53,7 +53,7 @@
     priority_class : str
         Name of the priority class, ``class`` in the text.
     idempotent : bool
-        Whether a request may run more than once.
+        Whether a request may run more than once; false by default.
     deadline : float
         Seconds within which the caller needs an answer.
     """
--- a/sedgetide/core/errors.py
+++ b/sedgetide/core/errors.py
@@ -65,7 +65,7 @@
 
 
 class StoreError(SedgetideError):
-    """A call to the platform's store that failed."""
+    """A call to the platform's store that got no usable answer."""
 
 
 class StoreConflict(StoreError):
--- a/sedgetide/core/requests/averages.py
+++ b/sedgetide/core/requests/averages.py
@@ -32,10 +32,12 @@
         size : int
             Size of its body in bytes.
         """
-        usual = self._seconds.setdefault(service, seconds)
-        self._seconds[service] = usual + _SMOOTHING * (seconds - usual)
-        known = self._bytes.setdefault(route, size)
-        self._bytes[route] = known + _SMOOTHING * (size - known)
+        average_time = self._seconds.setdefault(service, seconds)
+        self._seconds[service] = average_time + _SMOOTHING * (
+            seconds - average_time
+        )
+        average_size = self._bytes.setdefault(route, size)
+        self._bytes[route] = average_size + _SMOOTHING * (size - average_size)
 
     def find_service_time(self, service: ServiceName) -> float:
         """Return the average service time of a service in seconds."""
--- a/sedgetide/core/requests/brokenruns.py
+++ b/sedgetide/core/requests/brokenruns.py
@@ -19,7 +19,8 @@
 # A registry entry expires after three heartbeats, which is 2.6 s at 0.87 s
 # each; twice that allows for delayed updates.
 _PENDING_SECONDS = 6.0
-# An upstream runs only a few requests at a time and queues the others.
+# Attempts kept per upstream, which runs only a few requests at a time and
+# queues the others.
 _MAX_PER_UPSTREAM = 32
 _MAX_UPSTREAMS = 256
 
--- a/sedgetide/core/requests/loadbalancing.py
+++ b/sedgetide/core/requests/loadbalancing.py
@@ -18,8 +18,8 @@
 _MAX_CROSSING_SHARE = 0.6
 _CONNECT_FACTOR = 1.2
 _SUSPECT_FACTOR = 4.0
-# A rate-limited upstream is slower or has little capacity, and needs a place
-# from its lender before each send.
+# An upstream with a limited request rate is slower or has little capacity, and
+# each send needs a place from its lender.
 _BOUNDED_FACTOR = 3.0
 _JITTER = 0.1
 
--- a/sedgetide/core/requests/quarantine.py
+++ b/sedgetide/core/requests/quarantine.py
@@ -33,7 +33,7 @@
 # Required sum of the blame shares, if the request was not the only strong
 # suspect of any loss. A request that was alone in each loss is quarantined
 # after three losses, beside one other after four, and beside more after five.
-# That is two sends more than three; operators accept three more.
+# That is two sends beyond the third; operators accept three.
 _MIN_BLAME = 2.0
 _MIN_BLAME_SHARE = 0.4
 # From this number of losses on, the host does not retry a request itself. The
--- a/sedgetide/core/requests/retries.py
+++ b/sedgetide/core/requests/retries.py
@@ -56,30 +56,30 @@
     ----------
     ratio : float
         Retries allowed per request.
-    most : float
+    max_tokens : float
         Maximum number of tokens, which limits bursts of retries.
-    saved : float
+    initial_tokens : float
         Initial number of tokens.
     """
 
     def __init__(
         self,
         ratio: float = 0.1,
-        most: float = 100.0,
-        saved: float = _INITIAL_TOKENS,
+        max_tokens: float = 100.0,
+        initial_tokens: float = _INITIAL_TOKENS,
     ) -> None:
         self._ratio = ratio
-        self._most = most
-        self._tokens = min(saved, most)
+        self._max_tokens = max_tokens
+        self._tokens = min(initial_tokens, max_tokens)
 
-    def limit(self, most: float) -> None:
+    def limit(self, max_tokens: float) -> None:
         """Set the maximum number of tokens."""
-        self._most = most
-        self._tokens = min(self._tokens, most)
+        self._max_tokens = max_tokens
+        self._tokens = min(self._tokens, max_tokens)
 
     def note_request(self) -> None:
         """Add the share of a token that a request earns."""
-        self._tokens = min(self._most, self._tokens + self._ratio)
+        self._tokens = min(self._max_tokens, self._tokens + self._ratio)
 
     def spend(self) -> bool:
         """Spend one token for a retry; return False when there is none."""
--- a/sedgetide/core/requests/retryafter.py
+++ b/sedgetide/core/requests/retryafter.py
@@ -47,8 +47,8 @@
     seconds : float
         Expected wait, as reported by the lender.
     """
-    most = min(_MAX_PLACE_DELAY, seconds)
-    return round(max(_MIN_PLACE_DELAY, most), 2)
+    capped = min(_MAX_PLACE_DELAY, seconds)
+    return round(max(_MIN_PLACE_DELAY, capped), 2)
 
 
 def retry_after_limit(seconds: float) -> float:
--- a/sedgetide/core/requests/windowqueue.py
+++ b/sedgetide/core/requests/windowqueue.py
@@ -8,7 +8,7 @@
 from sedgetide.core.requests.health import UpstreamHealth
 from sedgetide.core.requests.windows import Window
 
-ItemT = TypeVar("TurnT")
+ItemT = TypeVar("ItemT")
 
 
 class WindowQueue(Generic[ItemT]):
--- a/sedgetide/core/requests/windows.py
+++ b/sedgetide/core/requests/windows.py
@@ -122,8 +122,8 @@
         if self._limit < 1.0:
             self._limit = min(1.0, self._limit * _FRACTIONAL_FACTOR)
         else:
-            most = 2.0 * self.slots + 1
-            self._limit = min(most, self._limit + _INCREMENT)
+            max_limit = 2.0 * self.slots + 1
+            self._limit = min(max_limit, self._limit + _INCREMENT)
 
     def note_refusal(self, load: UpstreamLoad | None = None) -> None:
         """Record that the upstream refused a request because of overload.
--- a/tests/core/requests/test_brokenruns.py
+++ b/tests/core/requests/test_brokenruns.py
@@ -33,7 +33,7 @@
         self.directory.put(UPSTREAM, 0.0)
         self.runs = BrokenRuns()
 
-    def test_all_that_a_crashed_upstream_had(self):
+    def test_all_attempts_of_a_crashed_upstream(self):
         self.runs.note(UPSTREAM.name, make_run(1.0, "a"))
         self.runs.note(UPSTREAM.name, make_run(1.01, "b"))
         ended = self.runs.pop_ended(UPSTREAM.name, LossProof.REFUSED)
@@ -91,7 +91,7 @@
         self.directory.remove(UPSTREAM.registered_name, 2.0)
         self.assertEqual([], self.runs.pop_withdrawn(self.directory, 2.0))
 
-    def test_start_under_the_same_name(self):
+    def test_restart_under_the_same_name(self):
         first = RegisteredUpstream(
             UpstreamName("map-2"),
             ServiceName("map"),
--- a/tests/core/requests/test_coldstart.py
+++ b/tests/core/requests/test_coldstart.py
@@ -54,7 +54,7 @@
         strategies.integers(1, 6),
         strategies.lists(strategies.floats(0.0, 0.8), max_size=40),
     )
-    def test_wait_is_what_asking_again_and_again_finds(self, bound, pauses):
+    def test_predicted_wait_is_exact(self, bound, pauses):
         recent = RecentSends()
         now, sent = 0.0, []
         for pause in pauses:
@@ -125,7 +125,7 @@
             sent[upstream].append(now)
         return sent
 
-    def test_hosts_on_their_own_break_the_bound(self):
+    def test_hosts_without_a_lender_exceed_the_limit(self):
         worst = max(count_most(each) for each in self.simulate([], 1).values())
         self.assertGreater(worst, TOTAL)
 
@@ -134,14 +134,14 @@
             for times in self.simulate([Lender()], seed).values():
                 self.assertLessEqual(count_most(times), BOUND)
 
-    def test_two_that_believe_they_lend_keep_it(self):
+    def test_two_concurrent_lenders_keep_it(self):
         # The leader has appointed another lender, and half of the hosts have
         # not learnt of it yet.
         for seed in range(5):
             for times in self.simulate([Lender(), Lender()], seed).values():
                 self.assertLessEqual(count_most(times), TOTAL)
 
-    def test_those_who_wait_are_let_in_as_it_bears(self):
+    def test_waiting_requests_are_admitted_within_the_limit(self):
         lender = Lender()
         for number in range(BOUND):
             lender.ask(Ticket("h", number), "u", 20, 2, 0.5, 0.0, BOUND)
--- a/tests/core/requests/test_fingerprints.py
+++ b/tests/core/requests/test_fingerprints.py
@@ -8,7 +8,7 @@
 
 
 class TestFingerprints(testtools.TestCase):
-    def test_repeat_has_the_same(self):
+    def test_repetition_has_the_same_fingerprint(self):
         self.assertEqual(make_fingerprint(*FIRST), make_fingerprint(*FIRST))
 
     def test_each_part_counts(self):
--- a/tests/core/requests/test_health.py
+++ b/tests/core/requests/test_health.py
@@ -18,7 +18,7 @@
         self.health.note_failure(10.0)
         self.assertFalse(self.health.is_suspect(10.1))
 
-    def test_two_failures_are(self):
+    def test_two_failures_are_a_suspicion(self):
         self.health.note_failure(10.0)
         self.health.note_failure(10.1)
         self.assertTrue(self.health.is_suspect(10.2))
@@ -31,12 +31,12 @@
         self.health.note_failure(10.0, UNREACHED_WEIGHT)
         self.assertFalse(self.health.is_suspect(12.1))
 
-    def test_answers_take_it_back(self):
+    def test_success_ends_the_suspicion(self):
         self.health.note_failure(10.0, UNREACHED_WEIGHT)
         self.health.note_success(0.1)
         self.assertFalse(self.health.is_suspect(10.1))
 
-    def test_time(self):
+    def test_service_time(self):
         self.assertEqual(FIRST_GUESS, self.health.estimate_seconds())
         self.health.note_success(0.5)
         self.assertEqual(0.5, self.health.estimate_seconds())
--- a/tests/core/requests/test_idleconnections.py
+++ b/tests/core/requests/test_idleconnections.py
@@ -13,23 +13,23 @@
     in the same way.
     """
 
-    def test_any_rest_is_trusted_at_first(self):
+    def test_no_limit_at_first(self):
         self.assertEqual(float("inf"), IdleLimit().find_max_idle(1.0))
 
-    def test_reset_after_a_rest_brings_the_bound_below_it(self):
+    def test_reset_lowers_the_limit_below_the_idle_time(self):
         limit = IdleLimit()
         limit.note_reset(0.5, 10.0)
         self.assertLess(limit.find_max_idle(10.1), 0.5)
         limit.note_reset(0.3, 11.0)
         self.assertLess(limit.find_max_idle(11.1), 0.3)
 
-    def test_longer_rest_does_not_widen_it(self):
+    def test_longer_idle_time_does_not_raise_it(self):
         limit = IdleLimit()
         limit.note_reset(0.5, 10.0)
         limit.note_reset(4.0, 11.0)
         self.assertLess(limit.find_max_idle(11.1), 0.5)
 
-    def test_reset_in_full_use_tells_nothing_of_rests(self):
+    def test_reset_of_a_busy_connection_is_ignored(self):
         limit = IdleLimit()
         limit.note_reset(0.01, 10.0)
         self.assertEqual(float("inf"), limit.find_max_idle(10.0))
--- a/tests/core/requests/test_loadbalancing.py
+++ b/tests/core/requests/test_loadbalancing.py
@@ -84,19 +84,19 @@
         )
         return chosen.most_common(1)[0][0]
 
-    def test_large_body_stays_near_a_queue_that_it_can_bear(self):
+    def test_large_body_stays_local_with_an_acceptable_queue(self):
         # Two thirds of 60 KB uploads went to another data centre for a queue
         # that was a few milliseconds shorter. That put 0.8 MB/s on links
         # needed by other traffic, and each partition lost as many bodies.
         self.assertEqual("near", self.choose(60_000, queue=5.0))
 
-    def test_it_leaves_before_the_queue_makes_it_late(self):
+    def test_large_body_crosses_before_the_queue_makes_it_late(self):
         self.assertEqual("far", self.choose(60_000, queue=12.0))
 
     def test_small_body_goes_where_it_is_served_soonest(self):
         self.assertEqual("far", self.choose(500, queue=5.0))
 
-    def test_no_body_is_worth_more_than_a_share_of_the_objective(self):
+    def test_crossing_cost_is_limited_by_the_objective(self):
         self.assertEqual(
             compute_crossing_cost(10**9, 0.2),
             compute_crossing_cost(10**8, 0.2),
--- a/tests/core/requests/test_operations.py
+++ b/tests/core/requests/test_operations.py
@@ -21,7 +21,7 @@
     def judge(self, operation, wall, first_attempt=False):
         return self.log.judge(operation, SHARD, wall, first_attempt)
 
-    def test_id_tells_its_time(self):
+    def test_issue_time_of_an_id(self):
         issued = find_issue_time(make_operation_id(START))
         self.assertAlmostEqual(START, issued, places=2)
         self.assertIsNone(find_issue_time("no-uuid"))
--- a/tests/core/requests/test_overdue.py
+++ b/tests/core/requests/test_overdue.py
@@ -19,11 +19,11 @@
         self.assertTrue(self.is_overdue(2.7))
         self.assertFalse(self.is_overdue(2.7, route="archive"))
 
-    def test_callers_without_a_deadline_came_just_now(self):
+    def test_callers_without_a_deadline_are_not_overdue(self):
         self.is_overdue(4.0)
         self.assertFalse(self.is_overdue(None))
 
-    def test_patience_that_changes_is_learnt(self):
+    def test_change_of_the_deadlines_takes_effect(self):
         self.is_overdue(9.0)
         for now in (30.0, 61.0, 100.0, 122.0):
             self.is_overdue(4.0, now)
--- a/tests/core/requests/test_places.py
+++ b/tests/core/requests/test_places.py
@@ -73,7 +73,7 @@
         granted = self.lender.end(make_ticket(2), 0.2, 0, 0.1)
         self.assertEqual("10.0.0.2:7000", granted[0].ticket.holder)
 
-    def test_hopeless_wait_is_refused_at_once_with_a_time(self):
+    def test_too_long_wait_is_refused_at_once_with_a_delay(self):
         for number in range(9):
             self.ask(number, left=1.0)
         decisions = self.lender.ask(
@@ -367,7 +367,7 @@
 
 
 def draw_swinging_arrivals(load, seconds, seed):
-    """Return requests whose load varies by 60% with a period of 6 s."""
+    """Return requests whose load swings by 0.6 with a period of 6 s."""
     source = random.Random(seed)
     return [
         each
--- a/tests/core/requests/test_quarantine.py
+++ b/tests/core/requests/test_quarantine.py
@@ -52,7 +52,7 @@
         self.assertEqual(300.0, self.find(DEADLY, 8.0))
         self.assertEqual(200.0, self.find(DEADLY, 108.0))
 
-    def test_host_sends_it_again_itself_after_the_first_loss_only(self):
+    def test_host_retries_after_the_first_loss_only(self):
         """A read that ran beside a crashing request is retried once.
 
         After its second loss, the host leaves retries to the caller: with
@@ -69,7 +69,7 @@
             lose(self.quarantine, at, DEADLY, upstream="u")
         self.assertEqual(0.0, self.find(DEADLY, 0.8))
 
-    def test_innocent_that_ended_well_in_between_goes_free(self):
+    def test_request_that_succeeded_in_between_is_not_held(self):
         """Two requests for one hot key run together at its owner.
 
         The owner crashes, the key moves, and both run at the next owner. The
@@ -96,7 +96,7 @@
             self.quarantine.note_end(f"{BESIDE}-{number}", 9.0 + number)
         self.assertGreater(self.find(DEADLY, 12.0), 0.0)
 
-    def test_company_makes_each_loss_say_less(self):
+    def test_more_suspects_weaken_each_loss(self):
         """Each loss has several suspects, and none succeeds in between.
 
         Three losses could be chance; the fifth, with two sends after the
@@ -120,7 +120,7 @@
         for each in (*others, "new"):
             self.assertEqual(0.0, self.find(each, 8.0))
 
-    def test_chance_alone_holds_nobody(self):
+    def test_random_losses_hold_no_request(self):
         """Upstreams crash on their own, each with two of 200 requests."""
         source = random.Random(5)
         callers = [f"caller-{number}" for number in range(200)]
@@ -227,12 +227,12 @@
             new.find_stay_left(DEADLY, 100.0),
         )
 
-    def test_word_of_a_loss_that_is_held_up(self):
+    def test_delayed_report_of_a_loss(self):
         """A host is frozen, or a partition delays the reports sent to it.
 
         The same report of one loss arrives several times, seconds apart,
-        with the age that the loss had when it was sent. When counted as two
-        more losses, it quarantined a request that had crashed one upstream.
+        with the age that the loss had when it was sent. Counted as two more
+        losses, it quarantined a request that was involved in a single one.
         """
         seen, other = Quarantine(), Quarantine()
         lose(seen, 0.0, BESIDE)
@@ -242,7 +242,7 @@
         self.assertEqual(0.0, other.find_stay_left(BESIDE, 8.0))
         self.assertTrue(other.may_retry(BESIDE))
 
-    def test_held_up_word_of_a_loss_that_is_cleared(self):
+    def test_delayed_report_of_a_cleared_loss(self):
         seen, other = Quarantine(), Quarantine()
         lose(seen, 0.0, BESIDE)
         report = copy(seen, 0.0)
@@ -251,7 +251,7 @@
         other.merge(report, 4.0)
         self.assertTrue(other.idle)
 
-    def test_late_word_does_not_undo_a_clearance(self):
+    def test_delayed_report_does_not_undo_a_clearance(self):
         """A partitioned host knows three losses, but not the clearance."""
         cut, other = Quarantine(), Quarantine()
         for at in (0.0, 4.0, 8.0):
@@ -324,7 +324,7 @@
         self.assertEqual(0.0, quarantine.find_stay_left("f", 10.0))
         quarantine.expire(20.0)
 
-    def test_caller_of_one_does_not_touch_another(self):
+    def test_other_requests_are_not_affected(self):
         quarantine = Quarantine()
         for at in (0.0, 4.0, 8.0):
             lose(quarantine, at, DEADLY)
--- a/tests/core/requests/test_queues.py
+++ b/tests/core/requests/test_queues.py
@@ -42,7 +42,7 @@
         self.assertIs(Reason.OVERLOAD, refusal.reason)
         self.assertAlmostEqual(0.2, refusal.retry_after)
 
-    def test_hopeless_deadline_is_refused_at_once(self):
+    def test_unreachable_deadline_is_refused_at_once(self):
         self.assertIsNone(self.offer("a", deadline=0.15))
         self.assertIsNotNone(self.offer("b", deadline=0.05))
 
@@ -57,7 +57,7 @@
         self.assertGreater(self.queue.estimate_wait(9), 0.15)
         self.assertLess(self.queue.estimate_wait(0), 0.15)
 
-    def test_estimate_follows_what_was_seen(self):
+    def test_estimate_follows_service_times(self):
         for _ in range(100):
             self.offer("a")
             self.take()
--- a/tests/core/requests/test_ratelimits.py
+++ b/tests/core/requests/test_ratelimits.py
@@ -104,7 +104,7 @@
             bucket.take(1.0)
         self.assertEqual(0.0, bucket.find_wait(50, 1.0))
 
-    def test_limit_of_nothing_lets_one_through_at_long_intervals(self):
+    def test_limit_of_zero_admits_one_at_long_intervals(self):
         # Guards against keys that stay unavailable after a limit of zero ends.
         bucket = TokenBucket()
         bucket.note(StatedLimit(0.0, 0.0, 0.1), 0.1)
@@ -112,7 +112,7 @@
         self.assertAlmostEqual(10.0, bucket.find_wait(0, 0.1))
         self.assertEqual(0.0, bucket.find_wait(0, 10.2))
 
-    def test_upstream_left_alone_for_long_gets_no_more_at_once(self):
+    def test_idle_time_does_not_raise_the_burst(self):
         # Guards against sending a minute's worth of requests at once.
         bucket = TokenBucket()
         bucket.note(StatedLimit(2.2, 0.0, 0.0), 0.0)
@@ -251,7 +251,7 @@
         }
         self.assertGreater(shares[URGENT], 1.5 * shares[USUAL])
 
-    def test_refused_callers_hear_when_there_is_room(self):
+    def test_retry_delay_of_refused_callers(self):
         simulation = Simulation(8, 0.3)
         simulation.run()
         self.assertGreater(max(simulation.refused), 1.5)
--- a/tests/core/requests/test_retries.py
+++ b/tests/core/requests/test_retries.py
@@ -19,7 +19,7 @@
         """Spend all saved tokens, restart, and spend all further tokens."""
         spent = 0
         for _ in range(hosts):
-            old = RetryBudget(0.0, most, saved=most)
+            old = RetryBudget(0.0, most, initial_tokens=most)
             new = RetryBudget(0.16, most, FIRST_TOKENS)
             while old.spend():
                 spent += 1
@@ -48,7 +48,7 @@
     def test_few_hosts_save_no_more_than_they_need(self):
         self.assertEqual(4.0, compute_burst_limit(158, 8))
 
-    def test_saved_ones_beyond_a_new_bound_are_lost(self):
+    def test_tokens_beyond_a_lower_limit_are_lost(self):
         budget = RetryBudget(0.1, 4.0)
         budget.limit(1.0)
         self.assertTrue(budget.spend())
--- a/tests/core/requests/test_retryafter.py
+++ b/tests/core/requests/test_retryafter.py
@@ -20,24 +20,24 @@
 
 
 class TestRetryAfter(testtools.TestCase):
-    def test_refused_caller_comes_again_when_there_is_room(self):
+    def test_delay_for_an_overloaded_upstream_follows_its_queue(self):
         free = retry_after_full_upstream(UpstreamLoad(1, 0, 2), 0.2)
         full = retry_after_full_upstream(UpstreamLoad(2, 8, 2), 0.2)
         self.assertLess(free, 0.1)
         self.assertGreater(full, 0.8)
         self.assertEqual(0.25, retry_after_full_upstream(None, 0.2))
 
-    def test_queue_is_foretold_for_a_second_at_most(self):
+    def test_queue_delay_is_limited_to_a_second(self):
         self.assertEqual(0.25, retry_after_queue(0.1))
         self.assertEqual(0.62, retry_after_queue(0.617))
         self.assertEqual(1.0, retry_after_queue(7.0))
 
-    def test_lent_queue_is_given_time_to_shrink(self):
+    def test_place_delay_lets_the_queue_shrink(self):
         self.assertEqual(1.0, retry_after_place(0.2))
         self.assertEqual(1.2, retry_after_place(1.2))
         self.assertEqual(1.5, retry_after_place(9.0))
 
-    def test_callers_last_until_lost_keys_have_an_owner(self):
+    def test_retries_last_until_lost_keys_have_an_owner(self):
         """A data centre is cut off; its keys have no owner for 3.5 seconds.
 
         A caller arrives after 1.5 seconds. With a retry delay of a quarter of
@@ -55,7 +55,7 @@
             now += min(compute_delay(now), (end - now) / 3)
         return now
 
-    def test_return_is_told_from_when_the_owner_was_lost(self):
+    def test_delay_counts_from_the_loss_of_the_owner(self):
         self.assertGreater(retry_after_owner_loss(0.0), 4.0)
         self.assertAlmostEqual(1.2, retry_after_owner_loss(3.0))
         self.assertEqual(STARTUP_RETRY_DELAY, retry_after_owner_loss(9.0))
--- a/tests/core/requests/test_routes.py
+++ b/tests/core/requests/test_routes.py
@@ -78,7 +78,7 @@
         self.assertEqual(100.2, compute_times(route, 0.2, 100.0).final)
         self.assertEqual(101.5, compute_times(route, None, 100.0).final)
 
-    def test_hold_leaves_time_to_come_again(self):
+    def test_hold_leaves_time_for_a_retry(self):
         route = make_route("r", "a", "/")
         self.assertEqual(
             100.25, compute_times(route, 3.0, 100.0).find_hold_deadline()
--- a/tests/core/requests/test_trials.py
+++ b/tests/core/requests/test_trials.py
@@ -66,7 +66,7 @@
         self.ask(deadly, 0.0)
         self.assertEqual([(hot, Verdict.GRANTED)], self.ask(hot, 0.0, HOT))
 
-    def test_grave_suspects_of_a_service_run_one_after_the_other(self):
+    def test_strong_suspects_of_a_service_run_one_after_the_other(self):
         # Guards against a third loss that cannot be attributed to one of them.
         deadly, hot, other = (make_ticket(host) for host in (1, 2, 3))
         self.ask(deadly, 0.0, alone=MAPS)
--- a/tests/core/requests/test_windowqueue.py
+++ b/tests/core/requests/test_windowqueue.py
@@ -29,13 +29,13 @@
         self.queue.note_end(1.2)
         self.assertEqual(["usual", "later"], self.queue.take(1.2))
 
-    def test_nobody_passes_those_who_wait(self):
+    def test_new_request_does_not_pass_waiting_ones(self):
         self.fill()
         self.queue.push("usual", 2)
         self.queue.note_end(1.1)
         self.assertFalse(self.queue.try_enter(1.1))
 
-    def test_who_left_is_gone_and_who_was_let_in_is_not(self):
+    def test_removed_request_is_gone(self):
         self.fill()
         self.queue.push("usual", 2)
         self.assertTrue(self.queue.remove("usual"))
--- a/tests/core/requests/test_windows.py
+++ b/tests/core/requests/test_windows.py
@@ -43,7 +43,7 @@
         self.assertFalse(window.is_free(10.0))
         self.assertTrue(window.is_free(11.1))
 
-    def test_refusal_with_room_is_a_fault_and_no_lack(self):
+    def test_refusal_with_an_empty_queue_keeps_the_limit(self):
         # An upstream refuses half of its requests although its queue is empty.
         # With lower limits, the hosts would refuse the other half, and no
         # caller would be served.
@@ -77,7 +77,7 @@
             window.note_load(UpstreamLoad(1, 0, 2), 1.0)
         self.assertGreaterEqual(window.limit, 1.0)
 
-    def test_what_others_wait_for_is_soon_forgotten(self):
+    def test_reported_queue_expires_after_a_second(self):
         window = Window(2)
         window.note_load(UpstreamLoad(2, 4, 2), 10.0)
         self.assertEqual(4.0, window.estimate_queue(10.0))
