--- a/tests/core/requests/test_overdue.py
+++ b/tests/core/requests/test_overdue.py
@@ -1,4 +1,4 @@
-"""Tests of telling callers who come again from others."""
+"""Tests of the detection of callers that retry."""
 
 import testtools
 
@@ -8,10 +8,10 @@
 class TestCallerAges(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.ages = OverdueDetector()
+        self.detector = OverdueDetector()
 
     def is_overdue(self, left, now=0.0, route="map"):
-        return self.ages.is_overdue(route, left, 0.6, now)
+        return self.detector.is_overdue(route, left, 0.6, now)
 
     def test_less_time_left_than_others_begin_with(self):
         self.assertFalse(self.is_overdue(4.0))
@@ -19,11 +19,11 @@
         self.assertTrue(self.is_overdue(2.7))
         self.assertFalse(self.is_overdue(2.7, route="archive"))
 
-    def test_callers_without_a_deadline_came_just_now(self):
+    def test_callers_without_a_deadline_are_not_overdue(self):
         self.is_overdue(4.0)
         self.assertFalse(self.is_overdue(None))
 
-    def test_patience_that_changes_is_learnt(self):
+    def test_change_of_the_deadlines_takes_effect(self):
         self.is_overdue(9.0)
         for now in (30.0, 61.0, 100.0, 122.0):
             self.is_overdue(4.0, now)
--- a/tests/core/requests/test_retries.py
+++ b/tests/core/requests/test_retries.py
@@ -1,4 +1,4 @@
-"""Tests of how many retries all hosts may make together."""
+"""Tests of the limit of the retries of all hosts together."""
 
 import testtools
 
@@ -7,19 +7,19 @@
 from sedgetide.core.requests.retries import RetryBudget
 
 
-class TestBoundBurst(testtools.TestCase):
-    """An upstream falls silent, and every host has saved up retries.
+class TestBurstLimit(testtools.TestCase):
+    """An upstream stops responding, and every host has saved retries.
 
-    Each sends its requests once more within the same second, without
-    hearing of the others. The upstreams that are left get more than the
-    deployment grants, when most of them have the least room.
+    Each host retries its requests within the same second, without knowing of
+    the others. Without a limit, the remaining upstreams would get more than
+    the deployment allows when they have the least spare capacity.
     """
 
     def spend_all(self, hosts, requests, most):
-        """Spend what was saved, restart, and spend what comes then."""
+        """Spend all saved tokens, restart, and spend all further tokens."""
         spent = 0
         for _ in range(hosts):
-            old = RetryBudget(0.0, most, saved=most)
+            old = RetryBudget(0.0, most, initial_tokens=most)
             new = RetryBudget(0.16, most, FIRST_TOKENS)
             while old.spend():
                 spent += 1
@@ -48,7 +48,7 @@
     def test_few_hosts_save_no_more_than_they_need(self):
         self.assertEqual(4.0, compute_burst_limit(158, 8))
 
-    def test_saved_ones_beyond_a_new_bound_are_lost(self):
+    def test_tokens_beyond_a_lower_limit_are_lost(self):
         budget = RetryBudget(0.1, 4.0)
         budget.limit(1.0)
         self.assertTrue(budget.spend())
