--- a/sedgetide/backends/__init__.py
+++ b/sedgetide/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Outside systems behind abstract base classes, one module a protocol."""
+"""Abstract interfaces to external systems, and their HTTP clients."""
--- a/sedgetide/backends/_connection.py
+++ b/sedgetide/backends/_connection.py
@@ -1,8 +1,8 @@
-"""One HTTP/1.1 connection on which the caller decides each send.
+"""HTTP/1.1 client connection that never retries.
 
-The response parser is that of geventhttpclient. Its client is not used: it
-sends a request again by itself when the server closes the connection, and
-does not know which requests are idempotent.
+Only the response parser of geventhttpclient is used. Its client retries a
+request when the server closes the connection, without regard to whether the
+request is idempotent.
 """
 
 from collections.abc import Iterable
@@ -18,8 +18,8 @@
 from sedgetide.core.errors import Step
 from sedgetide.core.errors import UpstreamError
 
-_BLOCK_BYTES = 16 * 1024
-_BODILESS = frozenset({204, 304})
+_RECV_BYTES = 16 * 1024
+_STATUSES_WITHOUT_BODY = frozenset({204, 304})
 _HOP_HEADERS = frozenset(
     {
         "connection",
@@ -38,28 +38,28 @@
 
 
 def is_hop_header(name: str) -> bool:
-    """Tell whether a header concerns one connection only."""
+    """Return whether a header is hop-by-hop."""
     return name.lower() in _HOP_HEADERS
 
 
 def drop_hop_headers(
     headers: Iterable[tuple[str, str]],
 ) -> list[tuple[str, str]]:
-    """Return headers without those that concern one connection only."""
+    """Return headers without the hop-by-hop ones."""
     return [
         (name, value) for name, value in headers if not is_hop_header(name)
     ]
 
 
 class HttpAnswer:
-    """A whole answer.
+    """A complete HTTP response.
 
     Parameters
     ----------
     status : int
         Status code.
     headers : list of tuple
-        Names and values as sent.
+        Names and values as received.
     body : bytes
         Complete body.
     """
@@ -74,7 +74,10 @@
         self.body = body
 
     def find_header(self, name: str) -> str | None:
-        """Return a header's value, or None when it was not sent."""
+        """Return the value of a header, or None when it is absent.
+
+        ``name`` is in lower case.
+        """
         for each, value in self.headers:
             if each.lower() == name:
                 return value
@@ -96,27 +99,32 @@
 
 
 def _require_length(response: HTTPSocketResponse, method: str) -> None:
-    """Refuse an answer whose end only the connection's end would mark.
+    """Reject a response whose body would end with the connection.
 
-    A connection cut half way looks the same as its proper end, so a part
-    of an archive would pass for the whole.
+    An interrupted transfer would look the same as a complete one, so that a
+    truncated body would be passed on as complete.
     """
-    if method == "HEAD" or response.status_code in _BODILESS:
+    if method == "HEAD" or response.status_code in _STATUSES_WITHOUT_BODY:
         return
     if "content-length" in response or "transfer-encoding" in response:
         return
-    raise ValueError("answer without a length")
+    raise ValueError("response without Content-Length or Transfer-Encoding")
 
 
 class HttpConnection:
-    """A connection that carries one request at a time.
+    """A client connection that carries one request at a time.
 
     Parameters
     ----------
     address : str
         ``IP:port`` of the server.
     body_limit : int
-        Largest body accepted in an answer.
+        Maximum size of a response body in bytes.
+
+    Attributes
+    ----------
+    answered_at : float
+        Monotonic time of the last response.
     """
 
     def __init__(self, address: str, body_limit: int) -> None:
@@ -126,12 +134,12 @@
         self._socket: socket.socket | None = None
 
     def open(self, timeout: float) -> None:
-        """Connect.
+        """Connect to the server.
 
         Raises
         ------
         UpstreamError
-            With ``sent`` false.
+            With ``sent`` false, if the connection cannot be opened.
         """
         try:
             self._socket = socket.create_connection(
@@ -158,20 +166,20 @@
         timeout: float,
         not_after: float = float("inf"),
     ) -> HttpAnswer:
-        """Send one request and read its whole answer.
+        """Send one request and read its complete response.
 
         Parameters
         ----------
         timeout : float
-            Seconds to wait for the answer.
+            Seconds to wait for the response.
         not_after : float
-            Monotonic clock time after which nothing is sent.
+            Monotonic time after which the request is not sent.
 
         Raises
         ------
         UpstreamError
-            With ``sent`` false when it was too late to send; else with
-            ``sent`` true, and the connection is closed, since a late answer
+            With ``sent`` false if ``not_after`` has passed. Otherwise with
+            ``sent`` true; the connection is closed, because a late response
             on it would be taken for that of the next request.
         """
         data = _format_request(method, path, self.address, headers, body)
@@ -180,7 +188,7 @@
                 ErrorCode.TOO_LATE,
                 Step.SEND,
                 self.address,
-                "authority or deadline ran out before the send",
+                "authority or deadline expired before the request was sent",
                 sent=False,
             )
         whole = False
@@ -191,35 +199,37 @@
             whole = True
             return answer
         except gevent.Timeout as error:
-            raise self._fail(
-                ErrorCode.UPSTREAM_SILENT, f"no answer in {timeout:.3f} s"
+            raise self._make_error(
+                ErrorCode.UPSTREAM_SILENT, f"no response in {timeout:.3f} s"
             ) from error
         except (OSError, HTTPParseError, ValueError) as error:
-            raise self._fail(ErrorCode.BAD_ANSWER, str(error)) from error
+            raise self._make_error(ErrorCode.BAD_ANSWER, str(error)) from error
         finally:
             if not whole:
                 self.close()
 
-    def _fail(self, code: ErrorCode, detail: str) -> UpstreamError:
+    def _make_error(self, code: ErrorCode, detail: str) -> UpstreamError:
         return UpstreamError(
             code, Step.ANSWER, self.address, detail, sent=True
         )
 
     def _read_answer(self, method: str) -> HttpAnswer:
         response = HTTPSocketResponse(
-            self._socket, block_size=_BLOCK_BYTES, method=method
+            self._socket, block_size=_RECV_BYTES, method=method
         )
         _require_length(response, method)
         body = bytearray()
         while True:
-            block = response.read(_BLOCK_BYTES)
+            block = response.read(_RECV_BYTES)
             body += block
             if len(body) > self._body_limit:
-                raise ValueError(f"body over {self._body_limit} bytes")
+                raise ValueError(
+                    f"response body larger than {self._body_limit} bytes"
+                )
             if not block:
                 break
         if not response.message_complete:
-            raise ValueError("body ended early")
+            raise ValueError("response body truncated")
         headers = drop_hop_headers(response.items())
         answer = HttpAnswer(response.status_code, headers, bytes(body))
         self.answered_at = time.monotonic()
@@ -233,7 +243,7 @@
         return self._socket is not None
 
     def close(self) -> None:
-        """Close the connection; closing twice does nothing."""
+        """Close the connection; has no effect when already closed."""
         if self._socket is not None:
             self._socket.close()
             self._socket = None
--- a/sedgetide/backends/dialects.py
+++ b/sedgetide/backends/dialects.py
@@ -1,6 +1,6 @@
-"""What a deployment's callers, upstreams and registry call things.
+"""Interfaces that translate a deployment's protocol to the router's types.
 
-The project decides; a dialect only translates. Each method is pure.
+A dialect only translates and contains no policy. All its methods are pure.
 """
 
 import abc
@@ -27,16 +27,16 @@
 
 
 class CallerFields(msgspec.Struct, frozen=True):
-    """What a caller says besides its request.
+    """Metadata that a caller sends in the headers of a request.
 
     Parameters
     ----------
     request : RequestId
-        Unique for each attempt of the caller; empty when unsaid.
+        Unique for each attempt of the caller; empty when absent.
     deadline : float or None
-        Seconds that it waits.
+        Seconds that the caller waits for the response.
     key : Key or None
-        Key that the request is about.
+        Key that the request is routed by.
     """
 
     request: RequestId
@@ -45,7 +45,10 @@
 
 
 class OrderRequest(msgspec.Struct, frozen=True):
-    """An order as an HTTP request."""
+    """An order to an upstream as an HTTP POST request.
+
+    Orders grant keys to an upstream or release them.
+    """
 
     path: str
     body: bytes
@@ -53,29 +56,33 @@
 
 
 class UpstreamWithdrawn(msgspec.Struct, frozen=True):
-    """An entry of the registry has disappeared."""
+    """The registry entry of an upstream was removed."""
 
     upstream: UpstreamName
 
 
 class EvacuationRequest(msgspec.Struct, frozen=True):
-    """Operators want a data centre emptied, or want it no longer."""
+    """Operators started or cancelled the evacuation of a data centre.
+
+    While it is asked for, the upstreams of the data centre get no new work
+    and their keys move elsewhere.
+    """
 
     data_centre: DataCentre
     asked: bool
 
 
 class UnreadableEntry(InputError):
-    """An entry of the registry that names no upstream to use.
+    """Raised for a registry entry that cannot be parsed.
 
     Parameters
     ----------
     upstream : UpstreamName
-        Under whose name it stands.
+        Upstream that the entry belongs to.
     key : str
-        Its key.
+        Key of the entry.
     problem : str
-        What is wrong with it.
+        Description of the error.
     """
 
     def __init__(self, upstream: UpstreamName, key: str, problem: str) -> None:
@@ -84,11 +91,17 @@
 
 
 class RequestDialect(abc.ABC):
-    """Headers of requests and answers."""
+    """Headers of requests and responses."""
 
     @abc.abstractmethod
     def read_request(self, headers: Headers) -> CallerFields:
-        """Return what a caller says; raises ValueError when malformed."""
+        """Return the metadata of a request.
+
+        Raises
+        ------
+        ValueError
+            If a header is malformed.
+        """
 
     @abc.abstractmethod
     def write_request(
@@ -98,45 +111,45 @@
         left: float,
         upstream: UpstreamName,
     ) -> list[tuple[str, str]]:
-        """Return the headers of a send.
+        """Return the headers of a request to an upstream.
 
         Parameters
         ----------
         left : float
-            Seconds within which the answer is still wanted.
+            Seconds left until the caller's deadline.
         upstream : UpstreamName
-            The only one that may run the request.
+            The only upstream that may run the request.
         """
 
     @abc.abstractmethod
     def read_request_id(self, headers: Headers) -> RequestId | None:
-        """Return the id of the request that an answer belongs to."""
+        """Return the id of the request that a response belongs to."""
 
     @abc.abstractmethod
     def classify_answer(self, status: int, headers: Headers) -> Failure:
-        """Return what is wrong with a whole answer; NONE when nothing."""
+        """Return the failure of a complete response, NONE on success."""
 
     @abc.abstractmethod
     def is_not_run(self, status: int, headers: Headers) -> bool:
-        """Tell whether an answer says that the request did not run."""
+        """Return whether a response states that the request did not run."""
 
     @abc.abstractmethod
     def read_load(self, headers: Headers) -> UpstreamLoad | None:
-        """Return what an upstream says of its load; None when nothing.
+        """Return the load reported in a response, None when absent.
 
         Raises
         ------
         ValueError
-            When it says something that can not be read.
+            If the load cannot be parsed.
         """
 
     @abc.abstractmethod
     def read_pushback(self, status: int, headers: Headers) -> Pushback:
-        """Return what an answer asks of those who send to its upstream."""
+        """Return the rate limit, backoff and leaving notice of a response."""
 
 
 class OrderDialect(abc.ABC):
-    """Grants and releases of keys."""
+    """Orders that grant keys to an upstream or release them."""
 
     @abc.abstractmethod
     def make_grant(
@@ -147,33 +160,41 @@
         hold: float,
         handover: str,
     ) -> OrderRequest:
-        """Return the order that gives keys to an upstream."""
+        """Return the order that grants keys to an upstream.
+
+        Parameters
+        ----------
+        hold : float
+            Seconds after which the grant expires.
+        handover : str
+            State that the previous owner returned on release, or empty.
+        """
 
     @abc.abstractmethod
     def make_release(
         self, upstream: UpstreamName, keys: KeyRange, fence: Fence
     ) -> OrderRequest:
-        """Return the order that takes keys back."""
+        """Return the order that releases keys."""
 
     @abc.abstractmethod
     def read_handover(self, headers: Headers) -> str:
-        """Return the state that a release hands to the next owner."""
+        """Return the state to pass to the next owner after a release."""
 
     @abc.abstractmethod
     def is_fenced(self, status: int) -> bool:
-        """Tell whether an answer says that a higher fence was seen."""
+        """Return whether an order was rejected because of a newer fence."""
 
     @abc.abstractmethod
     def is_misdirected(self, status: int) -> bool:
-        """Tell whether another upstream has the address now."""
+        """Return whether another upstream now listens at the address."""
 
 
 class RegistryDialect(abc.ABC):
-    """The registry and the operators' routes, as they lie in the store."""
+    """Registry entries and operators' settings in the store."""
 
     @abc.abstractmethod
     def list_prefixes(self) -> Sequence[str]:
-        """Return the beginnings of all keys to be read."""
+        """Return the prefixes of all keys to be watched."""
 
     @abc.abstractmethod
     def read(
@@ -185,12 +206,12 @@
         | Policy
         | None
     ):
-        """Return what an item says; None when nothing.
+        """Parse an item of the store, or return None when it is not used.
 
         Raises
         ------
         UnreadableEntry
-            When it is an entry of the registry that can not be read.
+            If a registry entry cannot be parsed.
         InputError
-            When it is anything else that can not be read.
+            If any other item cannot be parsed.
         """
--- a/sedgetide/backends/eras.py
+++ b/sedgetide/backends/eras.py
@@ -1,4 +1,4 @@
-"""Which era of the store a host has heard of."""
+"""Tracking of the store's era."""
 
 from collections.abc import Callable
 
@@ -8,10 +8,18 @@
 
 
 class EraTracker:
-    """Newest era that any answer to any call of this host has shown.
-
-    All clients of one store share it: what one of them learns makes the
-    earlier answers to the others worthless.
+    """Newest era seen in any response of the store.
+
+    A new era begins when the store is restored from a copy; its revisions
+    are counted anew. All clients of one store share a tracker, because a new
+    era invalidates the earlier responses to all of them.
+
+    Attributes
+    ----------
+    newest : Era or None
+        Newest era, None before the first response.
+    refused : int
+        Number of responses whose era could not be parsed.
     """
 
     def __init__(self) -> None:
@@ -20,11 +28,11 @@
         self._listeners: list[Callable[[Era], None]] = []
 
     def subscribe(self, listener: Callable[[Era], None]) -> None:
-        """Have a function called with each later era, but not the first."""
+        """Register a function to be called with each era after the first."""
         self._listeners.append(listener)
 
     def note(self, era: Era) -> None:
-        """Take in the era of an answer; an earlier one changes nothing."""
+        """Record the era of a response; earlier eras are ignored."""
         former = self.newest
         if former is not None and era <= former:
             return
@@ -35,7 +43,7 @@
         for listener in self._listeners:
             listener(era)
 
-    def note_refused(self, problem: str) -> None:
-        """Take in an answer whose era can not be read."""
+    def record_unparsable(self, problem: str) -> None:
+        """Record a response whose era cannot be parsed."""
         self.refused += 1
         log_event(Event.ERA_REFUSED, problem=problem)
--- a/sedgetide/backends/httpstore.py
+++ b/sedgetide/backends/httpstore.py
@@ -1,4 +1,4 @@
-"""The store over HTTP and JSON.
+"""Client of the compare-and-swap store over HTTP and JSON.
 
 The protocol is described in ``docs/protocols.md``.
 """
@@ -29,7 +29,7 @@
 _OK = 200
 _NOT_FOUND = 404
 _CONFLICT = 409
-# Base64 and JSON around a value of the largest size.
+# Allows for Base64 and JSON around a value of the maximum size.
 _ANSWER_LIMIT = 64 * MAX_VALUE_BYTES
 
 
@@ -49,15 +49,15 @@
 
 
 class HttpStore(Store):
-    """Client of the platform's store.
+    """HTTP client of the store.
 
     Parameters
     ----------
     addresses : sequence of str
-        ``IP:port`` of the store's servers; the next one is tried when one
-        gives no answer.
+        ``IP:port`` of the store's servers. If one does not respond, the
+        next call uses the next one.
     timeout : float
-        Seconds to wait for an answer, besides a watch's own wait.
+        Response timeout in seconds; a watch adds its own wait.
     """
 
     def __init__(self, addresses: Sequence[str], timeout: float) -> None:
@@ -167,10 +167,11 @@
         return connection
 
     def _rotate(self) -> None:
-        """Try another server next, on new connections only.
+        """Switch to the next server and drop all idle connections.
 
-        A connection that went silent may stay so for good while new ones
-        work; the idle ones share its way and are not trusted either.
+        An established connection may be lost for good while new ones to the
+        same server work. The idle connections use the same network path and
+        may be lost as well.
         """
         self.close()
         self._addresses.append(self._addresses.pop(0))
--- a/sedgetide/backends/httpupstream.py
+++ b/sedgetide/backends/httpupstream.py
@@ -1,4 +1,4 @@
-"""Upstreams over HTTP: requests as they are, orders as JSON.
+"""HTTP client of an upstream: proxied requests, and orders as JSON.
 
 The protocol is described in ``docs/protocols.md``.
 """
@@ -33,16 +33,16 @@
 HEADER_DECLINED = "sedgetide-declined"
 CONTROL_PREFIX = "/sedgetide/v1"
 
-_CONTROL_LIMIT = 4 * 1024 * 1024
-_RECENT = 1.0
-_ALWAYS = float("inf")
+_MAX_CONTROL_BODY = 4 * 1024 * 1024
+_MAX_IDLE = 1.0
+_NO_DEADLINE = float("inf")
 _OK = 200
 
 
 def drop_reserved_headers(
     headers: Iterable[tuple[str, str]],
 ) -> list[tuple[str, str]]:
-    """Return an upstream's headers without those meant for its keeper."""
+    """Return response headers without those addressed to the keeper."""
     return [
         (name, value)
         for name, value in headers
@@ -55,14 +55,14 @@
 
 
 class HttpUpstream(UpstreamClient):
-    """Client of one upstream.
+    """HTTP client of one upstream.
 
     Parameters
     ----------
     address : str
         ``IP:port``.
     body_limit : int
-        Largest body of an answer.
+        Maximum size of a response body in bytes.
     connect_timeout : float
         Seconds to wait for a new connection.
     """
@@ -74,10 +74,10 @@
         self._body_limit = body_limit
         self._connect_timeout = connect_timeout
         self._idle: list[HttpConnection] = []
-        self._control: HttpConnection | None = None
+        self._control_connection: HttpConnection | None = None
 
     def fetch_status(self, timeout: float) -> UpstreamStatus:
-        return self._order("GET", "/status", None, timeout, _ALWAYS)
+        return self._send_order("GET", "/status", None, timeout, _NO_DEADLINE)
 
     def grant(
         self,
@@ -92,7 +92,7 @@
             "life_ms": life * 1000.0,
             "shards": _encode_shards(shards),
         }
-        return self._order(
+        return self._send_order(
             "POST", "/grants", document, timeout, order.not_after
         )
 
@@ -107,7 +107,7 @@
             "stamp": order.stamp,
             "shards": _encode_shards(shards),
         }
-        return self._order(
+        return self._send_order(
             "POST", "/releases", document, timeout, order.not_after
         )
 
@@ -129,41 +129,41 @@
     def run(
         self,
         order: OrderContext,
-        work: UpstreamRequest,
+        request: UpstreamRequest,
         timeout: float,
         fresh: bool,
     ) -> UpstreamResult:
         headers = [
-            *work.headers,
-            (HEADER_REQUEST_ID, work.number),
+            *request.headers,
+            (HEADER_REQUEST_ID, request.number),
             (HEADER_ORDERER, order.orderer),
             (HEADER_STAMP, order.stamp),
-            (HEADER_LIFE, str(int(work.life * 1000.0))),
+            (HEADER_LIFE, str(int(request.life * 1000.0))),
         ]
-        if work.shard is not None:
-            headers.append((HEADER_SHARD, str(work.shard)))
-            headers.append((HEADER_EPOCH, str(work.epoch)))
+        if request.shard is not None:
+            headers.append((HEADER_SHARD, str(request.shard)))
+            headers.append((HEADER_EPOCH, str(request.epoch)))
         connection = self._take_connection(fresh)
         try:
             answer = connection.exchange(
-                work.method,
-                work.path,
+                request.method,
+                request.path,
                 headers,
-                work.body,
+                request.body,
                 timeout,
                 order.not_after,
             )
         except BaseException:
             connection.close()
             raise
-        if answer.find_header(HEADER_REQUEST_ID) != work.number:
-            # An answer of an earlier request would be a true-looking lie.
+        if answer.find_header(HEADER_REQUEST_ID) != request.number:
+            # A response to an earlier request may look valid.
             connection.close()
             raise UpstreamError(
                 ErrorCode.BAD_ANSWER,
                 Step.ANSWER,
                 self._address,
-                f"answer is not that of request {work.number}",
+                f"response is not that of request {request.number}",
                 sent=True,
             )
         if connection.usable:
@@ -174,14 +174,14 @@
     def close(self) -> None:
         while self._idle:
             self._idle.pop().close()
-        if self._control is not None:
-            self._control.close()
+        if self._control_connection is not None:
+            self._control_connection.close()
 
     def _take_connection(self, fresh: bool) -> HttpConnection:
         now = time.monotonic()
         while self._idle:
             connection = self._idle.pop()
-            if not fresh or now - connection.answered_at < _RECENT:
+            if not fresh or now - connection.answered_at < _MAX_IDLE:
                 return connection
             connection.close()
         return self._connect()
@@ -191,7 +191,7 @@
         connection.open(self._connect_timeout)
         return connection
 
-    def _order(
+    def _send_order(
         self,
         method: str,
         path: str,
@@ -199,11 +199,16 @@
         timeout: float,
         not_after: float,
     ) -> UpstreamStatus:
-        if self._control is None or not self._control.usable:
-            self._control = HttpConnection(self._address, _CONTROL_LIMIT)
-            self._control.open(self._connect_timeout)
+        if (
+            self._control_connection is None
+            or not self._control_connection.usable
+        ):
+            self._control_connection = HttpConnection(
+                self._address, _MAX_CONTROL_BODY
+            )
+            self._control_connection.open(self._connect_timeout)
         body = b"" if document is None else msgspec.json.encode(document)
-        answer = self._control.exchange(
+        answer = self._control_connection.exchange(
             method, CONTROL_PREFIX + path, (), body, timeout, not_after
         )
         return self._decode(answer, UpstreamStatus)
--- a/sedgetide/backends/leasestore.py
+++ b/sedgetide/backends/leasestore.py
@@ -1,4 +1,4 @@
-"""A store with leases, transactions and watches, as the project needs it."""
+"""Interface of a key-value store with leases, transactions and watches."""
 
 import abc
 from collections.abc import Mapping
@@ -16,7 +16,7 @@
 
 
 class Item(msgspec.Struct, frozen=True):
-    """A key's newest version; without a value, it was removed."""
+    """Newest version of a key; the value is None when it was removed."""
 
     key: str
     position: Position
@@ -24,14 +24,18 @@
 
 
 class Listing(msgspec.Struct, frozen=True):
-    """Items, and the position up to which they are complete."""
+    """Items, and the position in the history up to which they are complete.
+
+    A position is an era and a revision within it. A new era begins when the
+    store is restored from a copy.
+    """
 
     items: list[Item]
     position: Position
 
 
 class Write(msgspec.Struct, frozen=True):
-    """A value to be written, removed with its lease if it has one."""
+    """A value to write; it is removed when its lease, if any, ends."""
 
     key: str
     value: bytes
@@ -39,13 +43,13 @@
 
 
 class LeaseStore(abc.ABC):
-    """A key-value service with leases, transactions and watches.
+    """A key-value store with leases, transactions and watches.
 
     Revisions are counted over the whole store and grow within an era. Every
     method raises :class:`~sedgetide.core.errors.StoreError` when it got no
-    usable answer, which one of an earlier era than known is not; after a
-    failed write the change may be in force, or come into force later while
-    its conditions hold, also in a later era.
+    usable response; a response of an earlier era than the newest known one
+    is not usable. A failed write may have taken effect, or may take effect
+    later while its conditions hold, also in a later era.
     """
 
     @abc.abstractmethod
@@ -57,8 +61,8 @@
         """Return all items whose key begins with a prefix.
 
         The position is that of the first page, so that a watch from there
-        misses nothing that changed while the others were read. All pages are
-        of one era.
+        includes changes made while the other pages were read. All pages
+        have the same era.
         """
 
     @abc.abstractmethod
@@ -68,8 +72,8 @@
         Raises
         ------
         HistoryLost
-            When changes since then are no longer known, or another era
-            has begun.
+            If the store no longer has the changes since then, or another
+            era has begun.
         """
 
     @abc.abstractmethod
@@ -84,29 +88,33 @@
         Parameters
         ----------
         era : Era
-            In which they were read. A write that meets a later one has
-            failed, although it may be in force there.
+            Era in which the positions were read. A write that is applied in
+            a later era fails, although it may have taken effect there.
+        expected : mapping of str to Position
+            Positions of the keys as they were read.
+        writes : sequence of Write
+            Values to write.
 
         Raises
         ------
         StoreConflict
-            When one has another, or the era is known to be over; nothing
-            was changed.
+            If a key has another revision, or the era is known to have
+            ended; nothing was changed.
         LeaseEnded
-            When a lease is not known; nothing was changed.
+            If a lease has ended; nothing was changed.
         """
 
     @abc.abstractmethod
     def open_lease(self, life: float) -> LeaseId:
-        """Return a new lease that lives for some seconds."""
+        """Return a new lease that expires after ``life`` seconds."""
 
     @abc.abstractmethod
     def renew_lease(self, lease: LeaseId) -> None:
-        """Let a lease begin anew; raises LeaseEnded when it has ended."""
+        """Renew a lease; raises LeaseEnded when it has ended."""
 
     @abc.abstractmethod
     def end_lease(self, lease: LeaseId) -> None:
-        """End a lease; its keys are removed."""
+        """End a lease and remove its keys."""
 
     @abc.abstractmethod
     def close(self) -> None:
--- a/sedgetide/backends/store.py
+++ b/sedgetide/backends/store.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service as the project needs it."""
+"""Interface of a key-value store with compare-and-swap and watches."""
 
 import abc
 
@@ -9,14 +9,14 @@
 
 
 class WatchResult(msgspec.Struct, frozen=True):
-    """Answer to a watch.
+    """Result of a watch.
 
     Parameters
     ----------
     revision : Revision
-        Revision up to which the answer is complete.
+        Revision up to which the result is complete.
     records : list of Record
-        Newest versions of the keys changed since.
+        Newest versions of the keys changed since the watch's revision.
     """
 
     revision: Revision
@@ -24,11 +24,11 @@
 
 
 class Store(abc.ABC):
-    """A key-value service with compare-and-swap, leases and watches.
+    """A key-value store with compare-and-swap and watches.
 
     Revisions are counted over the whole store and only grow. Every method
     raises :class:`~sedgetide.core.errors.StoreError` when it got no usable
-    answer; after a failed :meth:`swap` the change may be in force.
+    response; a failed :meth:`swap` may have taken effect.
     """
 
     @abc.abstractmethod
@@ -37,7 +37,7 @@
 
     @abc.abstractmethod
     def read_revision(self, key: str) -> Revision:
-        """Return only the revision of a key, zero when it has none."""
+        """Return the revision of a key, zero when it has none."""
 
     @abc.abstractmethod
     def swap(self, key: str, value: bytes, expected: Revision) -> Revision:
@@ -50,7 +50,7 @@
         value : bytes
             New value, at most a megabyte.
         expected : Revision
-            Revision that was read; zero for a key that does not exist.
+            Revision that was read; zero if the key does not exist.
 
         Returns
         -------
@@ -60,7 +60,7 @@
         Raises
         ------
         StoreConflict
-            When the store holds another revision; nothing was changed.
+            If the store has another revision; nothing was changed.
         """
 
     @abc.abstractmethod
@@ -70,11 +70,11 @@
         Parameters
         ----------
         prefix : str
-            Beginning of the keys.
+            Prefix of the keys.
         since : Revision
-            Newest revision that is known already.
+            Newest revision that the caller already has.
         wait : float
-            Seconds after which an empty answer comes.
+            Seconds after which an empty result is returned.
         """
 
     @abc.abstractmethod
--- a/sedgetide/backends/upstream.py
+++ b/sedgetide/backends/upstream.py
@@ -1,4 +1,8 @@
-"""An upstream as its keeper needs it."""
+"""Interface of an upstream, as used by its keeper.
+
+A keeper is the process that grants shards to an upstream and proxies
+requests to it.
+"""
 
 import abc
 from collections.abc import Mapping
@@ -12,18 +16,19 @@
 
 
 class OrderContext(msgspec.Struct, frozen=True):
-    """Who gives an order, and by which of the upstream's own stamps.
+    """Origin and validity of an order to an upstream.
 
     Parameters
     ----------
     orderer : str
-        Keeper's process.
+        Process of the keeper.
     stamp : str
-        Stamp the upstream issued; the life of what is ordered counts from
-        it.
+        Opaque clock value issued by the upstream; the lifetime of a grant
+        counts from it.
     not_after : float
-        Own monotonic clock time after which the order may not be sent. An
-        upstream that checks no orders would obey it however late.
+        Time by the keeper's monotonic clock after which the order may not
+        be sent. An upstream that does not check orders would obey it
+        however late it arrives.
     """
 
     orderer: str
@@ -32,22 +37,22 @@
 
 
 class UpstreamStatus(msgspec.Struct, frozen=True):
-    """Answer of an upstream to any control call.
+    """Response of an upstream to any control call.
 
     Parameters
     ----------
     incarnation : str
-        Start of the upstream's process.
+        Identifier of this start of the upstream's process.
     stamp : str
-        Its clock now, opaque.
+        Current clock value of the upstream, opaque.
     orderer : str
-        Whose grants it held before this call.
+        Orderer of the grants that it held before this call.
     held_ms : float
-        Life left to those grants before this call.
+        Remaining lifetime of those grants before this call.
     refused : list of ShardKey
-        Shards whose order it refused, for a newer fence.
+        Shards whose order was refused because of a newer fence.
     load : float
-        Load it reports; lags and may mislead.
+        Reported load; may lag and be inaccurate.
     """
 
     incarnation: str
@@ -59,18 +64,18 @@
 
 
 class UpstreamRequest(msgspec.Struct, frozen=True):
-    """A request as it goes to an upstream.
+    """A request to be sent to an upstream.
 
     Parameters
     ----------
     number : str
-        Id of the request; the answer has to repeat it.
+        Id of the request; the response has to repeat it.
     shard : ShardKey or None
         Shard of the key.
     epoch : Epoch
-        Epoch under which the upstream owns the shard.
+        Epoch in which the upstream owns the shard.
     life : float
-        Seconds from the stamp during which it may be begun.
+        Seconds from the stamp within which the request may be started.
     """
 
     number: str
@@ -84,14 +89,14 @@
 
 
 class UpstreamResult(msgspec.Struct, frozen=True):
-    """Answer of an upstream to a request.
+    """Result of a request to an upstream.
 
     Parameters
     ----------
     answer : HttpAnswer
-        Whole answer.
+        Complete response.
     declined : str
-        Why the upstream did not begin the request; empty when it ran it.
+        Reason why the upstream did not start the request; empty if it did.
     """
 
     answer: HttpAnswer
@@ -99,11 +104,14 @@
 
 
 class UpstreamClient(abc.ABC):
-    """Calls to one upstream; each raises UpstreamError when unanswered."""
+    """Client of one upstream.
+
+    Each call raises UpstreamError when it gets no complete response.
+    """
 
     @abc.abstractmethod
     def fetch_status(self, timeout: float) -> UpstreamStatus:
-        """Ask for a stamp and the state of the process."""
+        """Fetch a stamp and the state of the process."""
 
     @abc.abstractmethod
     def grant(
@@ -113,7 +121,7 @@
         life: float,
         timeout: float,
     ) -> UpstreamStatus:
-        """Grant shards, or renew their grants, for ``life`` seconds."""
+        """Grant shards for ``life`` seconds, or renew their grants."""
 
     @abc.abstractmethod
     def release(
@@ -122,27 +130,27 @@
         shards: Mapping[ShardKey, Epoch],
         timeout: float,
     ) -> UpstreamStatus:
-        """Have the upstream give shards up and refuse older epochs."""
+        """Release shards; the upstream refuses older epochs from then on."""
 
     @abc.abstractmethod
     def cancel(self, number: str, timeout: float) -> bool:
-        """Cancel a request; return True when it had not begun."""
+        """Cancel a request; return True if it had not been started."""
 
     @abc.abstractmethod
     def run(
         self,
         order: OrderContext,
-        work: UpstreamRequest,
+        request: UpstreamRequest,
         timeout: float,
         fresh: bool,
     ) -> UpstreamResult:
-        """Send a request once and return its whole answer.
+        """Send a request once and return its complete response.
 
         Parameters
         ----------
         fresh : bool
-            Use a connection that answered recently or a new one, since a
-            silent one could not tell whether the request ran.
+            Use a new connection or one that was used recently. On a lost
+            connection it would be unknown whether the request ran.
         """
 
     @abc.abstractmethod
--- a/sedgetide/platform/__init__.py
+++ b/sedgetide/platform/__init__.py
@@ -1,5 +1,5 @@
-"""Translation between the agency's platform and the product.
+"""Adapter between the deployment platform and the router.
 
-Names of headers, calls, keys and fields of the platform stand here and
-nowhere else. Nothing here decides.
+All names of the platform's headers, endpoints, store keys and fields are
+confined to this package, which translates and contains no policy.
 """
--- a/sedgetide/platform/__main__.py
+++ b/sedgetide/platform/__main__.py
@@ -1,4 +1,4 @@
-"""A host of the product on the agency's platform."""
+"""Entry point of the host daemon on the deployment platform."""
 
 import os
 import sys
--- a/sedgetide/platform/_names.py
+++ b/sedgetide/platform/_names.py
@@ -1,4 +1,4 @@
-"""Names that the platform gives to headers, calls and keys."""
+"""Names and status codes defined by the platform."""
 
 REQUEST_ID = "Sedgetide-Request-Id"
 DEADLINE_MS = "Sedgetide-Deadline-Ms"
--- a/sedgetide/platform/_orders.py
+++ b/sedgetide/platform/_orders.py
@@ -1,4 +1,4 @@
-"""Grants and releases of keys."""
+"""Orders that grant keys to an upstream or release them."""
 
 import msgspec
 
@@ -20,14 +20,14 @@
         msgspec.json.encode(document),
         (
             ("Content-Type", "application/json"),
-            # The address may belong to another service's upstream by now.
+            # The address may have been reassigned to another upstream.
             (_names.EXPECT_INSTANCE, upstream),
         ),
     )
 
 
 class PlatformOrders(OrderDialect):
-    """Orders as the platform's upstreams take them."""
+    """Orders in the format of the platform's upstreams."""
 
     def make_grant(
         self,
--- a/sedgetide/platform/_registry.py
+++ b/sedgetide/platform/_registry.py
@@ -1,4 +1,4 @@
-"""The registry and the operator's configuration."""
+"""Upstream registry and operators' configuration."""
 
 from collections.abc import Sequence
 import re
@@ -31,22 +31,22 @@
 from sedgetide.core.membership.incarnations import UNKNOWN_BIRTH
 from sedgetide.platform import _names
 
-_LEAVING = "draining"
-_IDEMPOTENT = "safe"
+_DRAINING = "draining"
+_IDEMPOTENT_KIND = "safe"
 _DEFAULT_TIMEOUT_MS = 30_000
 
 
-# Upstreams' names travel in a header, so one that is no plain word could end
-# the header and forge another. Keys of the store have at most 200 bytes.
-_NAME = re.compile(r"[!-~]{1,200}")
-# Far above any real upstream; a window of more would be no bound.
-_MOST_SLOTS = 65_536
-_LONGEST_WARMUP_MS = 86_400_000
-# Seconds, or requests a second.
-_MOST_FIGURE = 1_000_000_000
+# Upstream names are sent in a header; other characters would allow header
+# injection. Keys of the store have at most 200 bytes.
+_VISIBLE_NAME = re.compile(r"[!-~]{1,200}")
+# Far above any real upstream; a larger window would not limit anything.
+_MAX_SLOTS = 65_536
+_MAX_WARMUP_MS = 86_400_000
+# In seconds, or in requests per second.
+_MAX_NUMBER = 1_000_000_000
 _UNREADABLE = (
     msgspec.MsgspecError,
-    # Nested too deeply.
+    # Raised for documents that are nested too deeply.
     RecursionError,
     ValueError,
 )
@@ -59,20 +59,20 @@
     service: _Text
     version: str
     zone: _Text
-    slots: Annotated[int, msgspec.Meta(ge=1, le=_MOST_SLOTS)]
+    slots: Annotated[int, msgspec.Meta(ge=1, le=_MAX_SLOTS)]
 
 
 class _Status(msgspec.Struct, rename="kebab", frozen=True):
     state: Literal["ready", "draining"]
     sequence: _Count
-    warmup_left_ms: Annotated[float, msgspec.Meta(ge=0, le=_LONGEST_WARMUP_MS)]
+    warmup_left_ms: Annotated[float, msgspec.Meta(ge=0, le=_MAX_WARMUP_MS)]
 
 
 class _Entry(msgspec.Struct, rename="kebab", frozen=True):
-    """What an upstream says of itself; all fields that it always writes.
+    """Registry entry of an upstream, with the fields that it always writes.
 
-    Other writers' entries lack some or put something else there. ``born``
-    is left out where each start has a name of its own.
+    Entries of other writers lack some of them or have values of other types.
+    ``born`` is absent where each start of an upstream has its own name.
     """
 
     address: str
@@ -97,7 +97,7 @@
 
 
 class _Limits(msgspec.Struct, rename="kebab", frozen=True):
-    # Any figure may come with a fraction.
+    # Any of these numbers may have a fraction.
     max_header_bytes: float = 32 * 1024
     max_body_bytes: float = 16 * 1024 * 1024
     header_timeout_ms: float = 10_000
@@ -112,8 +112,8 @@
 
 
 def _read_entry(name: UpstreamName, value: bytes) -> RegisteredUpstream:
-    if _NAME.fullmatch(name) is None:
-        raise ValueError("name: accepted are visible characters only")
+    if _VISIBLE_NAME.fullmatch(name) is None:
+        raise ValueError("name: expected 1 to 200 visible ASCII characters")
     entry = msgspec.json.decode(value, type=_Entry)
     split_address(entry.address)
     return RegisteredUpstream(
@@ -122,7 +122,7 @@
         entry.address,
         DataCentre(entry.info.zone),
         entry.info.slots,
-        entry.status.state == _LEAVING,
+        entry.status.state == _DRAINING,
         entry.status.warmup_left_ms / 1000.0,
         UNKNOWN_BIRTH if entry.born is None else StartTime(entry.born),
     )
@@ -144,7 +144,7 @@
         RouteName(row["name"]),
         row["host"],
         row["path-prefix"],
-        row.get("kind") == _IDEMPOTENT,
+        row.get("kind") == _IDEMPOTENT_KIND,
         timeout,
         timeout if objective is None else objective / 1000.0,
         int(row.get("max-attempts", 1)),
@@ -159,27 +159,27 @@
         int(row.get("max-connections", 100)),
         bool(row.get("sharded")),
         row.get("warm-s", 0.0),
-        _read_figure(row, "warmup-s") or 0.0,
-        _read_figure(row, "warmup-per-s"),
+        _read_optional_number(row, "warmup-s") or 0.0,
+        _read_optional_number(row, "warmup-per-s"),
     )
 
 
-def _read_figure(row: dict[str, Any], name: str) -> float | None:
-    """Return a figure that may be left out.
+def _read_optional_number(row: dict[str, Any], name: str) -> float | None:
+    """Return the number in a column, or None when it is absent.
 
     Raises
     ------
     ValueError
-        When it is there and no such number.
+        If the value is not a number within the limits.
     """
     value = row.get(name)
     if value is None:
         return None
     number = isinstance(value, int | float) and not isinstance(value, bool)
-    if not number or not 0 <= value <= _MOST_FIGURE:
+    if not number or not 0 <= value <= _MAX_NUMBER:
         raise ValueError(
-            f"{name}: {str(value)[:40]}: accepted is a number from 0 to "
-            f"{_MOST_FIGURE}"
+            f"{name}: {str(value)[:40]}: expected a number from 0 to "
+            f"{_MAX_NUMBER}"
         )
     return float(value)
 
@@ -202,7 +202,7 @@
 
 
 class PlatformRegistry(RegistryDialect):
-    """Items of the platform's store that others write."""
+    """Store items written by upstreams and operators."""
 
     def list_prefixes(self) -> Sequence[str]:
         return (_names.ALL_KEYS,)
@@ -217,7 +217,7 @@
         | None
     ):
         if key.startswith(_names.EVACUATION_PREFIX):
-            # That the item is there says all; nothing stands in it.
+            # Only the presence of the item matters; its value is unused.
             name = key.removeprefix(_names.EVACUATION_PREFIX)
             return EvacuationRequest(DataCentre(name), value is not None)
         if key.startswith(_names.REGISTRY_PREFIX):
--- a/sedgetide/platform/_requests.py
+++ b/sedgetide/platform/_requests.py
@@ -1,4 +1,4 @@
-"""Headers of requests and answers."""
+"""Headers of requests and responses."""
 
 import re
 
@@ -16,34 +16,34 @@
 from sedgetide.platform._spellings import list_spellings
 from sedgetide.wire.messages import find_header
 
-# Set anew for each send; a caller's own are not passed on.
+# Set by the router on each send; values sent by a caller are dropped.
 _REPLACED = frozenset(
     {_names.DEADLINE_MS.lower(), _names.EXPECT_INSTANCE.lower()}
 )
 _LOAD_PARTS = 3
-_USUAL_PACE = 100.0
-_MOST_LOAD = 1_000_000
+_NORMAL_PACE = 100.0
+_MAX_LOAD = 1_000_000
 _RETRY_AFTER = "Retry-After"
-# Seconds; whoever wants to be left alone for longer leaves.
-_LONGEST_BACKOFF = 86_400.0
-# Requests a second; a higher limit is as good as this one.
-_MOST_LIMIT = 1_000_000.0
+# In seconds; an upstream that wants no requests for longer should leave.
+_MAX_BACKOFF = 86_400.0
+# In requests per second; higher limits have no further effect.
+_MAX_LIMIT = 1_000_000.0
 _DECIMAL = re.compile(r"[0-9]{1,40}(\.[0-9]{0,40})?|\.[0-9]{1,40}")
 
 
-def _read_number(headers: Headers, name: str, most: float) -> int | None:
+def _read_number(headers: Headers, name: str, maximum: float) -> int | None:
     value = find_header(headers, name.lower())
     if value is None:
         return None
-    if not (value.isascii() and value.isdigit()) or int(value) > most:
+    if not (value.isascii() and value.isdigit()) or int(value) > maximum:
         raise ValueError(
-            f"{name}: {value!r}: accepted is a number from 0 to {most}"
+            f"{name}: {value!r}: expected a number from 0 to {maximum}"
         )
     return int(value)
 
 
 class PlatformRequests(RequestDialect):
-    """Headers as the platform's callers and upstreams know them."""
+    """Headers in the format of the platform's callers and upstreams."""
 
     def read_request(self, headers: Headers) -> CallerFields:
         deadline = _read_number(headers, _names.DEADLINE_MS, float("inf"))
@@ -84,7 +84,7 @@
         if 200 <= status < 300:
             signed = find_header(headers, _names.SIGNATURE.lower())
             encoded = find_header(headers, "content-encoding")
-            # Whatever says 2xx without the signature is not the upstream's.
+            # A 2xx without the signature was not created by the upstream.
             if signed is None or encoded is not None:
                 return Failure.BROKEN
             return Failure.NONE
@@ -102,62 +102,62 @@
         parts = [part.strip() for part in value.split(",")]
         if len(parts) < _LOAD_PARTS:
             raise ValueError(
-                f"{_names.LOAD}: {value[:80]!r}: accepted are "
-                f"{_LOAD_PARTS} figures or more, separated by commas"
+                f"{_names.LOAD}: {value[:80]!r}: expected "
+                f"{_LOAD_PARTS} or more numbers, separated by commas"
             )
         running, waiting, slots = (
-            _read_figure(part, 0) for part in parts[:_LOAD_PARTS]
+            _read_load_number(part, 0) for part in parts[:_LOAD_PARTS]
         )
         if len(parts) == _LOAD_PARTS:
             return UpstreamLoad(running, waiting, slots)
-        # Whatever stands behind the fourth is not known here.
-        pace = _read_figure(parts[_LOAD_PARTS], 1) / _USUAL_PACE
+        # Anything after the fourth number is unknown and ignored.
+        pace = _read_load_number(parts[_LOAD_PARTS], 1) / _NORMAL_PACE
         return UpstreamLoad(running, waiting, slots, pace)
 
     def read_pushback(self, status: int, headers: Headers) -> Pushback:
         problems: list[str] = []
 
-        def read(name: str, most: float) -> float | None:
+        def read(name: str, maximum: float) -> float | None:
             try:
-                return _read_decimal(headers, name, most)
+                return _read_decimal(headers, name, maximum)
             except ValueError as error:
                 problems.append(str(error))
                 return None
 
-        limit = read(_names.LIMIT, _MOST_LIMIT)
+        limit = read(_names.LIMIT, _MAX_LIMIT)
         leaving = read(_names.LEAVING, 1.0)
         backoff = None
         if status == _names.UNAVAILABLE:
-            backoff = read(_RETRY_AFTER, _LONGEST_BACKOFF)
+            backoff = read(_RETRY_AFTER, _MAX_BACKOFF)
         return Pushback(limit, bool(leaving), backoff, tuple(problems))
 
 
 def _find_either(headers: Headers, name: str) -> str | None:
-    """Return a header that is written with or without the prefix."""
+    """Return the value of a header sent with or without the prefix."""
     plain, prefixed = list_spellings(name)
     value = find_header(headers, plain)
     return find_header(headers, prefixed) if value is None else value
 
 
-def _read_decimal(headers: Headers, name: str, most: float) -> float | None:
+def _read_decimal(headers: Headers, name: str, maximum: float) -> float | None:
     value = _find_either(headers, name)
     if value is None:
         return None
     if not _DECIMAL.fullmatch(value.strip()):
         raise ValueError(
-            f"{name}: {value[:80]!r}: accepted is a decimal number from 0"
+            f"{name}: {value[:80]!r}: expected a non-negative decimal number"
         )
-    return min(most, float(value))
+    return min(maximum, float(value))
 
 
-def _read_figure(part: str, least: int) -> int:
+def _read_load_number(part: str, minimum: int) -> int:
     if not (part.isascii() and part.isdigit() and len(part) <= 7):
-        figure = -1
+        number = -1
     else:
-        figure = int(part)
-    if not least <= figure <= _MOST_LOAD:
+        number = int(part)
+    if not minimum <= number <= _MAX_LOAD:
         raise ValueError(
-            f"{_names.LOAD}: {part[:20]!r}: accepted is a whole number "
-            f"from {least} to {_MOST_LOAD}"
+            f"{_names.LOAD}: {part[:20]!r}: expected an integer "
+            f"from {minimum} to {_MAX_LOAD}"
         )
-    return figure
+    return number
--- a/sedgetide/platform/_spellings.py
+++ b/sedgetide/platform/_spellings.py
@@ -1,8 +1,8 @@
-"""Names of headers that are written with or without the platform's prefix."""
+"""Header names that are sent with or without the platform's prefix."""
 
 _PREFIX = "Sedgetide-"
 
 
 def list_spellings(name: str) -> tuple[str, str]:
-    """Return both forms of a header's name, in lower case."""
+    """Return a header name without and with the prefix, in lower case."""
     return name.lower(), (_PREFIX + name).lower()
--- a/sedgetide/platform/_store.py
+++ b/sedgetide/platform/_store.py
@@ -37,7 +37,7 @@
 _CONFLICT = 412
 _CONNECT_TIMEOUT = 0.7
 _ANSWER_BYTES = 64 * 1024 * 1024
-_UNDONE = ErrorCode.STORE_UNAVAILABLE
+_FAILED = ErrorCode.STORE_UNAVAILABLE
 
 
 class _Row(msgspec.Struct, rename="kebab", frozen=True):
@@ -54,10 +54,10 @@
 
 
 def _decode_value(text: str) -> bytes:
-    """Return an item's bytes; none of them when the text can't be read.
+    """Return the decoded value of an item, empty if it is invalid.
 
-    One such item in a listing would otherwise hide all the others, and the
-    host would never become ready. Empty, it is refused by whoever reads it.
+    An error here would fail the whole listing because of one item, and the
+    host would never become ready. The item's reader rejects an empty value.
     """
     try:
         return base64.b64decode(text, validate=True)
@@ -86,16 +86,16 @@
 
 
 class PlatformStore(LeaseStore):
-    """Store that the platform runs.
+    """HTTP client of the platform's key-value store.
 
     Parameters
     ----------
     address : str
         ``IP:port``.
     timeout : float
-        Seconds to wait for an answer, besides a watch's own wait.
+        Response timeout in seconds; a watch adds its own wait.
     eras : EraTracker
-        Told of the era of each answer.
+        Records the era of each response.
     """
 
     def __init__(self, address: str, timeout: float, eras: EraTracker) -> None:
@@ -124,8 +124,9 @@
             if position is None:
                 position = Position(reply.era, Revision(page.as_of))
             if reply.era != position.era:
-                raise self._fail(
-                    Step.READ, f"pages of eras {position.era} and {reply.era}"
+                raise self._error(
+                    Step.READ,
+                    f"listing spans eras {position.era} and {reply.era}",
                 )
             if not page.has_more or not page.items:
                 return Listing(items, position)
@@ -133,7 +134,7 @@
 
     def watch(self, prefix: str, since: Position, wait: float) -> Listing:
         if self._eras.newest != since.era:
-            raise self._lose_history(since)
+            raise self._history_lost(since)
         query = urlencode(
             {
                 "path-prefix": prefix,
@@ -144,7 +145,7 @@
         path = f"{_names.WATCH_PATH}?{query}"
         reply = self._call(Step.WATCH, "GET", path, wait=wait)
         if reply.answer.status == _GONE or reply.era != since.era:
-            raise self._lose_history(since)
+            raise self._history_lost(since)
         page = self._decode(reply.answer, _Page, Step.WATCH)
         items = [row.make_item(reply.era) for row in page.events]
         return Listing(items, Position(reply.era, Revision(page.as_of)))
@@ -171,12 +172,12 @@
         if reply.answer.status == _CONFLICT:
             raise self._conflict(expected)
         if reply.answer.status == _NOT_FOUND:
-            raise self._lose_lease()
+            raise self._lease_ended()
         changed = self._decode(reply.answer, _Changed, Step.WRITE)
         if reply.era != era:
-            raise self._fail(
+            raise self._error(
                 Step.WRITE,
-                f"written in era {reply.era} on what was read in {era}",
+                f"applied in era {reply.era}, expected era {era}",
                 ErrorCode.STORE_UNCERTAIN,
             )
         return Position(era, Revision(changed.revision))
@@ -190,7 +191,7 @@
         path = f"{_names.KEEP_PATH}/{lease}"
         answer = self._call(Step.WRITE, "POST", path).answer
         if answer.status == _NOT_FOUND:
-            raise self._lose_lease()
+            raise self._lease_ended()
         self._require_ok(answer, Step.WRITE)
 
     def end_lease(self, lease: LeaseId) -> None:
@@ -200,7 +201,7 @@
     def close(self) -> None:
         self._pool.close()
 
-    def _fail(
+    def _error(
         self,
         step: Step,
         detail: str,
@@ -212,15 +213,15 @@
         newest = max(expected.values()).revision
         return StoreConflict(Step.WRITE, self._address, newest, -1)
 
-    def _lose_history(self, since: Position) -> HistoryLost:
+    def _history_lost(self, since: Position) -> HistoryLost:
         return HistoryLost(
             ErrorCode.STORE_UNAVAILABLE,
             Step.WATCH,
             self._address,
-            f"history after revision {since} is gone",
+            f"history after position {since} is no longer available",
         )
 
-    def _lose_lease(self) -> LeaseEnded:
+    def _lease_ended(self) -> LeaseEnded:
         return LeaseEnded(
             ErrorCode.STORE_CONFLICT,
             Step.WRITE,
@@ -243,7 +244,7 @@
             headers.append(("Content-Type", "application/json"))
         request = Request(method, path, headers, body)
         answer = self._exchange(step, request, self._timeout + wait)
-        return _Reply(answer, self._place(answer, step, request))
+        return _Reply(answer, self._check_era(answer, step, request))
 
     def _exchange(
         self, step: Step, request: Request, timeout: float
@@ -254,47 +255,49 @@
                 stack.callback(self._pool.give_back, connection)
                 return connection.exchange(request, timeout)
             except UpstreamError as error:
-                code = _judge(request) if error.sent else _UNDONE
-                raise self._fail(step, error.detail, code) from error
+                code = _classify(request) if error.sent else _FAILED
+                raise self._error(step, error.detail, code) from error
 
-    def _place(self, answer: Answer, step: Step, request: Request) -> Era:
-        """Return the era of an answer.
+    def _check_era(self, answer: Answer, step: Step, request: Request) -> Era:
+        """Return the era of a response.
 
         Raises
         ------
         StoreError
-            When the answer says nothing of the store as it is: its era is
-            over, or can not be read.
+            If the era has ended or cannot be parsed; the response does not
+            describe the current state of the store.
         """
         try:
             era = read_era(answer.headers)
         except ValueError as error:
-            self._eras.note_refused(str(error))
-            raise self._fail(step, str(error), _judge(request)) from error
+            self._eras.record_unparsable(str(error))
+            raise self._error(step, str(error), _classify(request)) from error
         self._eras.note(era)
         if era != self._eras.newest:
-            raise self._fail(
+            raise self._error(
                 step,
-                f"answer of era {era} after era {self._eras.newest}",
-                _judge(request),
+                f"response of era {era} after one of {self._eras.newest}",
+                _classify(request),
             )
         return era
 
     def _require_ok(self, answer: Answer, step: Step) -> None:
         if answer.status != _OK:
-            raise self._fail(step, f"status {answer.status}")
+            raise self._error(step, f"status {answer.status}")
 
     def _decode(self, answer: Answer, kind: Any, step: Step) -> Any:
         self._require_ok(answer, step)
         try:
             return msgspec.json.decode(answer.body, type=kind)
         except msgspec.MsgspecError as error:
-            raise self._fail(step, str(error), ErrorCode.BAD_ANSWER) from error
+            raise self._error(
+                step, str(error), ErrorCode.BAD_ANSWER
+            ) from error
 
 
-def _judge(request: Request) -> ErrorCode:
-    """Return what is known of a call without a usable answer."""
-    return ErrorCode.STORE_UNCERTAIN if request.method == "POST" else _UNDONE
+def _classify(request: Request) -> ErrorCode:
+    """Return the code of a call that was sent without a usable response."""
+    return ErrorCode.STORE_UNCERTAIN if request.method == "POST" else _FAILED
 
 
 def _make_write(write: Write) -> dict[str, Any]:
--- a/sedgetide/platform/_storeeras.py
+++ b/sedgetide/platform/_storeeras.py
@@ -1,4 +1,4 @@
-"""Reads the store's era from the headers of its answers."""
+"""Parsing of the store's era from response headers."""
 
 from sedgetide.core.history import Era
 from sedgetide.core.history import FIRST_ERA
@@ -6,18 +6,18 @@
 from sedgetide.platform._spellings import list_spellings
 from sedgetide.wire.messages import Headers
 
-# Fences count on from the era times 2^32 and have to fit into 63 bits.
+# Fences start at the era times 2^32 and have to fit into 63 bits.
 LAST_ERA = Era(2**31 - 1)
 _SPELLINGS = list_spellings(_names.STORE_ERA)
 
 
 def read_era(headers: Headers) -> Era:
-    """Return the era of an answer; the first one when none is named.
+    """Return the era of a response, the first era when it has no header.
 
     Raises
     ------
     ValueError
-        When it can not be read, or two different ones are named.
+        If the header is invalid or names two different eras.
     """
     named = {
         part.strip()
@@ -32,6 +32,6 @@
         if len(eras) == 1 and max(eras) <= LAST_ERA:
             return Era(eras.pop())
     raise ValueError(
-        f"{_names.STORE_ERA}: {sorted(named)}: accepted is one number "
+        f"{_names.STORE_ERA}: {sorted(named)}: expected one number "
         f"from 0 to {LAST_ERA}"
     )
--- a/tests/backends/test_connection.py
+++ b/tests/backends/test_connection.py
@@ -20,7 +20,7 @@
 
 
 class Server:
-    """Answers each connection with fixed bytes and counts arrivals."""
+    """Answers each request with fixed bytes and counts arrivals."""
 
     def __init__(self, answer):
         self.answer = answer
@@ -83,15 +83,15 @@
         self.assertTrue(connection.usable)
 
     def test_every_method_arrives_once(self):
-        # The server takes the request and closes without an answer. A
-        # client that sends again by itself would run it twice.
+        # The server reads the request and closes without a response. A
+        # client that retries automatically would run it twice.
         server = self.serve(None)
         for method in METHODS:
             self.assert_fails(ErrorCode.BAD_ANSWER, server, method=method)
         self.assertEqual(dict.fromkeys(METHODS, 1), dict(server.arrived))
 
     def test_cut_answers_are_errors(self):
-        # The caller would take half an archive for the whole.
+        # Guards against passing on a truncated body as complete.
         for cut in (
             b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nx: close\r\n\r\nok",
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n"
@@ -107,7 +107,7 @@
         self.assert_fails(ErrorCode.BAD_ANSWER, self.serve(head + body))
 
     def test_connection_that_timed_out_is_closed(self):
-        # Its answer comes late and would be taken for the next request's.
+        # A late response would be taken for that of the next request.
         server = self.serve(b"")
         connection = HttpConnection(server.address, LIMIT)
         connection.open(1.0)
@@ -117,7 +117,7 @@
         self.assertFalse(connection.usable)
 
     def test_nothing_is_sent_too_late(self):
-        # The process was paused between its decision and the send.
+        # Covers a process that is paused between its decision and the send.
         server = self.serve(b"")
         self.assert_fails(
             ErrorCode.TOO_LATE, server, sent=False, not_after=0.0
@@ -131,37 +131,41 @@
         )
         server = self.serve(answer)
         client = HttpUpstream(server.address, LIMIT, 1.0)
-        work = UpstreamRequest("own", "GET", "/", [], b"", None, Epoch(0), 1.0)
+        request = UpstreamRequest(
+            "own", "GET", "/", [], b"", None, Epoch(0), 1.0
+        )
         order = OrderContext("k", "0", float("inf"))
         with contextlib.closing(client):
             error = self.assertRaises(
-                UpstreamError, client.run, order, work, 1.0, False
+                UpstreamError, client.run, order, request, 1.0, False
             )
         self.assertTrue(error.sent)
         self.assertIn("not that of request own", error.detail)
 
     def test_non_idempotent_request_avoids_an_old_connection(self):
-        # A connection may have gone silent for good while it was idle; the
-        # request would be lost on it and its outcome unknown.
+        # A connection may be lost while it is idle. A request sent on it
+        # would get no response, and its outcome would be unknown.
         answer = (
             b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n"
             b"sedgetide-request: n\r\n\r\nok"
         )
         server = self.serve(answer)
         client = HttpUpstream(server.address, LIMIT, 1.0)
-        work = UpstreamRequest("n", "POST", "/", [], b"", None, Epoch(0), 1.0)
+        request = UpstreamRequest(
+            "n", "POST", "/", [], b"", None, Epoch(0), 1.0
+        )
         order = OrderContext("k", "0", float("inf"))
         with contextlib.closing(client):
-            client.run(order, work, 1.0, fresh=True)
-            client.run(order, work, 1.0, fresh=True)
+            client.run(order, request, 1.0, fresh=True)
+            client.run(order, request, 1.0, fresh=True)
             self.assertEqual(1, server.connections)
             client._idle[0].answered_at -= 10.0
-            client.run(order, work, 1.0, fresh=True)
+            client.run(order, request, 1.0, fresh=True)
         self.assertEqual(2, server.connections)
 
 
 class SlowServer(Server):
-    """Answers each request with its own id, the first one late."""
+    """Answers each request with its id, the first one after a delay."""
 
     def _serve(self, peer):
         delay = 0.2
@@ -191,7 +195,7 @@
 
 
 class ReusingConnection(HttpConnection):
-    """Mutation: a connection that timed out stays open."""
+    """Mutant: a connection stays open after a timeout."""
 
     def open(self, timeout):
         super().open(timeout)
@@ -202,36 +206,36 @@
 
 
 class ForgetfulUpstream(HttpUpstream):
-    """Mutation: takes any answer and keeps every connection."""
+    """Mutant: accepts any response and keeps every connection."""
 
-    def run(self, order, work, timeout, fresh):
+    def run(self, order, request, timeout, fresh):
         if not self._idle:
             connection = ReusingConnection(self._address, LIMIT)
             connection.open(1.0)
             self._idle.append(connection)
-        headers = [("sedgetide-request", work.number)]
+        headers = [("sedgetide-request", request.number)]
         return self._idle[0].exchange(
-            work.method, work.path, headers, work.body, timeout
+            request.method, request.path, headers, request.body, timeout
         )
 
 
 class CrossedAnswersTest(testtools.TestCase):
     def ask_twice(self, client):
-        """Let a first request time out; return the answer to a second."""
+        """Let a first request time out; return the response to a second."""
         order = OrderContext("k", "0", float("inf"))
 
         def run(number, timeout):
-            work = UpstreamRequest(
+            request = UpstreamRequest(
                 number, "GET", "/", [], b"", None, Epoch(0), 1.0
             )
-            return client.run(order, work, timeout, fresh=False)
+            return client.run(order, request, timeout, fresh=False)
 
         self.assertRaises(UpstreamError, run, "1", 0.05)
         return run("2", 30.0)
 
     def test_answers_never_cross(self):
-        # The mayor of one town would get another's answer: the first
-        # request timed out, its answer came late on the same connection.
+        # The first request times out and its response arrives late on the
+        # same connection, where another caller's response is expected.
         server = SlowServer(b"")
         self.addCleanup(server.close)
         client = HttpUpstream(server.address, LIMIT, 1.0)
--- a/tests/platform/test_foreign_entries.py
+++ b/tests/platform/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""Entries of other writers, drawn at random: none ends the follower."""
+"""Property tests: no registry entry of another writer stops a host."""
 
 import string
 
@@ -62,7 +62,7 @@
 
 
 def replace_field(path, value):
-    """Return a good entry in which one field is something else."""
+    """Return a valid entry with one field replaced."""
     entry = {
         name: dict(each) if isinstance(each, dict) else each
         for name, each in GOOD.items()
@@ -77,10 +77,10 @@
 
 
 class TestForeignEntries(testtools.TestCase):
-    """What is not of an upstream is refused, whatever it holds."""
+    """Entries not written by an upstream are rejected as unreadable."""
 
     def read(self, value):
-        """Return what the catalogue makes of bytes; None when refused."""
+        """Return the parsed entry, or None when it is unreadable."""
         try:
             return PlatformRegistry().read(KEY, value)
         except UnreadableEntry as error:
@@ -125,7 +125,7 @@
 
 
 class TestWishes(testtools.TestCase):
-    """Operators' items under odd names and with odd bytes."""
+    """Evacuation requests with arbitrary names and values."""
 
     @given(
         strategies.text(max_size=40),
@@ -141,11 +141,11 @@
         self.assertEqual([], evacuations.list_evacuating())
 
     def test_host_that_starts_knows_before_it_sends(self):
-        """All hosts are lost while a data centre is evacuated.
+        """A host that starts during an evacuation honours it at once.
 
-        What they list first has the upstreams, the owners and the wish. A
-        request sent there before the wish is read would reach it long after
-        it has to be empty.
+        Its first listing has the upstreams, the owners and the evacuation
+        request. Reading the latter last would send requests to the data
+        centre long after the deadline by which it has to be empty.
         """
         deployment = DeploymentState(PlatformRegistry(), Evacuations(5.0))
         items = [
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""Tests of the store's client: what its answers count for in which era."""
+"""Tests of how the store client handles eras."""
 
 import collections
 
@@ -19,7 +19,7 @@
 
 
 class ScriptedStore(PlatformStore):
-    """Gets the answers of a script instead of calling anyone."""
+    """Returns scripted responses instead of calling a server."""
 
     def __init__(self):
         self.eras = EraTracker()
@@ -28,7 +28,7 @@
         self.requests = []
 
     def answer(self, era, document, status=200):
-        """Add an answer to the script."""
+        """Add a response to the script."""
         headers = [] if era is None else [("Store-Era", str(era))]
         body = msgspec.json.encode(document)
         self.answers.append(Answer(status, headers, body))
@@ -39,7 +39,7 @@
 
 
 class TestEras(testtools.TestCase):
-    """Answers before, across and after a return from a copy."""
+    """Responses before, during and after a restore of the store."""
 
     def setUp(self):
         super().setUp()
@@ -63,35 +63,35 @@
         self.assertEqual([3], self.heard)
 
     def test_refusal_names_an_era_too(self):
-        # Guards against a host that hears of a return only once it is served.
+        # An error response reveals a restore as well as a successful one.
         self.list(3)
         self.store.answer(4, {}, 429)
         self.assertRaises(StoreError, self.store.read, "k")
         self.assertEqual([4], self.heard)
 
     def test_answer_of_an_earlier_era_counts_for_nothing(self):
-        # Guards against an answer that was under way during the return.
+        # The response was already in flight when the store was restored.
         self.list(4)
         for era in (3, None):
             self.store.answer(era, ITEM)
             self.assertRaises(StoreError, self.store.read, "k")
 
     def test_answer_whose_era_is_unreadable_counts_for_nothing(self):
-        # Guards against an answer that is placed in an era by a guess.
+        # Guards against guessing the era of a response.
         self.list(4)
         self.store.answer("x", ITEM)
         self.assertRaises(StoreError, self.store.read, "k")
         self.assertEqual(1, self.store.eras.refused)
 
     def test_listing_that_spans_a_return_is_none(self):
-        # Guards against pages of two states taken for one.
+        # Guards against combining pages of two states in one listing.
         self.listing(3, more=True)
         self.listing(4)
         self.assertRaises(StoreError, self.store.list, "")
 
     def test_watch_that_spans_a_return_has_lost_its_history(self):
-        # Guards against news missed without 410: the new history may have
-        # passed the revision from which the watch began.
+        # Guards against changes that are missed without a 410: after the
+        # restore, revisions may already have passed the start of the watch.
         since = self.list(3).position
         self.store.answer(4, {"as-of": 12, "events": [ITEM]})
         self.assertRaises(HistoryLost, self.store.watch, "", since, 1.0)
@@ -107,7 +107,7 @@
         return self.store.transact(era, expected, [Write("k", b"x")])
 
     def test_write_that_spans_a_return_has_failed(self):
-        # Guards against a write that is in force on what nobody has read.
+        # The write took effect on a state that the client has not read.
         self.list(3)
         self.store.answer(4, {"revision": 10})
         error = self.assertRaises(StoreError, self.write, 3)
--- a/tests/platform/test_storeeras.py
+++ b/tests/platform/test_storeeras.py
@@ -1,4 +1,4 @@
-"""Tests of how the store's era is read from its answers."""
+"""Tests of how the store's era is parsed from response headers."""
 
 import testtools
 
@@ -8,7 +8,7 @@
 
 
 class TestEra(testtools.TestCase):
-    """Headers of the store's answers."""
+    """Headers of the store's responses."""
 
     def test_era_with_and_without_the_prefix(self):
         for name in ("Store-Era", "store-era", "Sedgetide-Store-Era"):
@@ -22,7 +22,7 @@
         self.assertEqual(4, read_era([("Store-Era", "4, 4")]))
 
     def test_era_that_can_not_be_read_is_an_error(self):
-        # Guards against an answer that is placed in an era by a guess.
+        # Guards against guessing the era of a response.
         for value in (
             "",
             "x",
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -1,4 +1,4 @@
-"""Tests of the translation between the platform and the product."""
+"""Tests of the adapter between the platform and the router."""
 
 import importlib
 import pathlib
@@ -25,7 +25,7 @@
 
 NAMES = importlib.import_module("sedgetide.platform._names")
 ROOT = pathlib.Path(__file__).parents[2]
-# Names of headers, calls and keys that only the platform has.
+# Names of headers, endpoints and keys that are specific to the platform.
 PLATFORM_NAMES = [
     value
     for name, value in vars(NAMES).items()
@@ -35,7 +35,7 @@
 
 
 class TestConfinement(testtools.TestCase):
-    """Nothing outside the folder names what is the platform's."""
+    """Platform-specific names occur only in the platform package."""
 
     def test_names_stay_in_the_folder(self):
         for path in (ROOT / "sedgetide").rglob("*.py"):
@@ -64,7 +64,7 @@
 
 
 class TestRequests(testtools.TestCase):
-    """Headers of requests and answers."""
+    """Headers of requests and responses."""
 
     def setUp(self):
         super().setUp()
@@ -115,8 +115,8 @@
         return self.dialect.classify_answer(status, headers)
 
     def test_success_needs_the_signature(self):
-        # Bytes that merely look like a success would reach the caller as
-        # its tile, though no upstream made it.
+        # Guards against passing a 2xx response to the caller that was not
+        # created by an upstream.
         signed = ("Sedgetide-Response-Signature", "3e1b")
         self.assertIs(Failure.NONE, self.classify_answer(200, signed))
         self.assertIs(Failure.BROKEN, self.classify_answer(200))
@@ -157,11 +157,11 @@
             self.assertEqual(Pushback(limit), self.read_limit(value))
 
     def test_limit_that_can_not_be_read_is_no_limit(self):
-        # Guards against an answer that is lost for what stands beside it.
+        # Guards against dropping a response because of an invalid header.
         for value in ("", "x", "-1", "nan", "inf", "1e3", "1,5", "\u0661"):
             found = self.read_limit(value)
             self.assertIsNone(found.limit)
-            self.assertIn("accepted", found.problems[0])
+            self.assertIn("expected", found.problems[0])
 
     def test_upstream_that_leaves(self):
         for value, leaving in (("1", True), ("0", False)):
@@ -177,7 +177,7 @@
         headers = [("Retry-After", "1.5")]
         found = self.dialect.read_pushback(503, headers)
         self.assertEqual(Pushback(backoff=1.5), found)
-        # What else says so means the caller.
+        # On other statuses, Retry-After is addressed to the caller.
         self.assertEqual(Pushback(), self.dialect.read_pushback(500, headers))
         for value in ("Wed, 21 Oct 2026 07:28:00 GMT", "-1", "soon"):
             found = self.dialect.read_pushback(503, [("Retry-After", value)])
@@ -188,10 +188,10 @@
         return self.dialect.read_load([("Sedgetide-Server-Load", value)])
 
     def test_load_with_a_pace_and_more(self):
-        """Windows and places go on learning when the header grows.
+        """Additional numbers in the load header are accepted.
 
-        An upstream adds a fourth figure. Read as no load at all, each host
-        believes that nobody waits there and goes on sending.
+        An upstream added a fourth number. If the header were rejected,
+        hosts would assume an empty queue and go on sending.
         """
         self.assertEqual(
             UpstreamLoad(3, 1, 8, 2.5), self.read_load("3, 1, 8, 250")
@@ -214,21 +214,21 @@
             "٣,0,8",
         ):
             error = self.assertRaises(ValueError, self.read_load, value)
-            self.assertIn("accepted", str(error))
+            self.assertIn("expected", str(error))
 
     @given(strategies.text(alphabet="0123456789,. -+e٣x", max_size=40))
     def test_any_load_is_read_or_refused(self, value):
         try:
             load = self.read_load(value)
         except ValueError as error:
-            self.assertIn("accepted", str(error))
+            self.assertIn("expected", str(error))
             return
         self.assertGreater(load.pace, 0.0)
         self.assertGreaterEqual(load.waiting, 0)
 
 
 class TestOrders(testtools.TestCase):
-    """Grants and releases."""
+    """Orders that grant or release keys."""
 
     def test_grant(self):
         order = PlatformOrders().make_grant(
@@ -260,11 +260,11 @@
 
 
 class TestRows(testtools.TestCase):
-    """Items as the store lists them."""
+    """Rows of the store's listings."""
 
     def test_value_that_is_no_base64_hides_no_other(self):
-        # Another writer's item can not be decoded. The listing it stands in
-        # failed as a whole, and a host that starts was never ready.
+        # One undecodable item of another writer failed the whole listing,
+        # so that a starting host never became ready.
         page = msgspec.json.decode(
             b'{"as-of":5,"items":[{"key":"servers/a","revision":4,'
             b'"value":"A"},{"key":"servers/b","revision":5,"value":"eA=="}]}',
@@ -338,7 +338,7 @@
                 ["name", "warmup-per-s"],
                 [["a", value]],
             )
-            self.assertIn("accepted", str(error))
+            self.assertIn("expected", str(error))
 
     def test_starts_have_names_of_their_own(self):
         first = self.catalogue.read("servers/i-1", self.make_entry())
@@ -349,8 +349,7 @@
         self.assertLess(first.born, second.born)
 
     def test_entries_of_other_writers_name_no_upstream(self):
-        # Fields missing or of another type, words that mean nothing here,
-        # numbers no upstream has.
+        # Missing fields, other types, unknown words, implausible numbers.
         for path, value in (
             (("address",), None),
             (("address",), 7),
@@ -411,8 +410,8 @@
         self.assertEqual(UpstreamWithdrawn("i-7f3a"), gone)
 
     def test_configuration_with_fractions(self):
-        # Bounds that follow a deployment's size need not be whole; a policy
-        # that was refused for it would leave every host without routes.
+        # Limits that scale with the size of a deployment may be fractions;
+        # rejecting the policy would leave every host without routes.
         policy = self.catalogue.read(
             "op/config",
             msgspec.json.encode(
