--- a/sedgetide/wire/__init__.py
+++ b/sedgetide/wire/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP connections on which the project decides each send."""
+"""HTTP/1.1 client and server connections without automatic retries."""
--- a/sedgetide/wire/client.py
+++ b/sedgetide/wire/client.py
@@ -1,4 +1,4 @@
-"""One connection to a server; nothing is ever sent twice by itself."""
+"""HTTP/1.1 client connections and their pool; no automatic retries."""
 
 from collections.abc import Callable
 import contextlib
@@ -22,54 +22,55 @@
 from sedgetide.wire.messages import Headers
 from sedgetide.wire.messages import Request
 
-_BLOCK = 64 * 1024
-_HEAD_BYTES = 64 * 1024
-_UNACKNOWLEDGED_MS = 1500
-_PROBE_AFTER_S = 1
-_PROBES = 3
-_IDLE_LIFE = 8.0
-_LONGEST_IDLE = 30.0
-_IDLE_SHARE = 0.9
-# More answers than this in front of the own one are no mere late repeat.
-_FOREIGN_MOST = 3
-_RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+_RECV_BYTES = 64 * 1024
+_MAX_HEADER_BYTES = 64 * 1024
+_USER_TIMEOUT_MS = 1500
+_KEEPALIVE_INTERVAL_S = 1
+_KEEPALIVE_PROBES = 3
+_DEFAULT_IDLE_TIMEOUT = 8.0
+_MAX_IDLE_TIMEOUT = 30.0
+_IDLE_TIMEOUT_FRACTION = 0.9
+# More responses to other requests than this are not just late duplicates.
+_MAX_ANSWERS_READ = 3
+_LINGER_RESET = struct.pack("ii", 1, 0)
 
-Belongs = Callable[[Headers], bool]
+AnswerFilter = Callable[[Headers], bool]
 
 
 def _accept_any(_: Headers) -> bool:
     return True
 
 
-def set_probes(connection: socket.socket) -> None:
-    """Let the kernel notice a connection that has gone silent.
+def enable_keepalive_probes(connection: socket.socket) -> None:
+    """Enable TCP keepalive probes and a limit for unacknowledged data.
 
-    A path that has lost track of a connection resets nothing: without
-    this, what waits on it waits until its own deadline.
+    A middlebox that drops a connection without a reset leaves it open at
+    both ends. Without probes, a request on it would wait until its deadline.
     """
     option = connection.setsockopt
     option(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     option(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    option(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _PROBE_AFTER_S)
-    option(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _PROBE_AFTER_S)
-    option(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _PROBES)
-    option(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED_MS)
+    option(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_INTERVAL_S)
+    option(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S)
+    option(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_PROBES)
+    option(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS)
 
 
 class Connection:
-    """A connection that carries one request at a time.
+    """A client connection that carries one request at a time.
 
     Parameters
     ----------
     address : str
         ``IP:port`` of the server.
     body_limit : int
-        Largest body accepted in an answer.
+        Maximum size of a response body in bytes.
 
     Attributes
     ----------
     rested : float
-        Seconds that it had been idle when it was taken last.
+        Seconds for which it had been idle when it was last taken from the
+        pool; 0 for a new connection.
     """
 
     def __init__(self, address: str, body_limit: int) -> None:
@@ -77,22 +78,22 @@
         self._body_limit = body_limit
         self._socket: socket.socket | None = None
         self._used_at = 0.0
-        self._idle_life = _IDLE_LIFE
+        self._idle_timeout = _DEFAULT_IDLE_TIMEOUT
         self.rested = 0.0
 
     def open(self, timeout: float) -> None:
-        """Connect.
+        """Connect to the server.
 
         Raises
         ------
         UpstreamError
-            With ``sent`` false.
+            With ``sent`` false, if the connection cannot be opened.
         """
         try:
             self._socket = socket.create_connection(
                 split_address(self.address), timeout=timeout
             )
-            set_probes(self._socket)
+            enable_keepalive_probes(self._socket)
             self._socket.settimeout(None)
         except OSError as error:
             self.close()
@@ -105,16 +106,16 @@
             ) from error
         self._used_at = time.monotonic()
 
-    def settle(self, seconds: float) -> None:
-        """Wait a moment for a server that is full to reset the connection.
+    def wait_for_reset(self, seconds: float) -> None:
+        """Wait for a server without a free slot to reset the connection.
 
-        A reset that comes after the request has left says nothing about
-        whether it ran; before, it proves that nothing did.
+        After a reset before the request is sent, the request is known not
+        to have run; after a later one, its outcome is unknown.
 
         Raises
         ------
         UpstreamError
-            With ``sent`` false.
+            With ``sent`` false, if the server closes the connection.
         """
         with contextlib.suppress(TimeoutError):
             wait_read(self._socket.fileno(), timeout=seconds)
@@ -123,20 +124,20 @@
                 ErrorCode.UPSTREAM_FULL,
                 Step.CONNECT,
                 self.address,
-                "closed before anything was sent",
+                "connection closed before the request was sent",
                 sent=False,
             )
 
     @property
     def usable(self) -> bool:
-        """Whether a request may be sent on it now.
+        """Whether a request may be sent on the connection now.
 
-        Bytes that wait before anything was asked are a second answer to an
-        earlier request, or the server's close.
+        Input that is pending before a request is sent is either a duplicate
+        response to an earlier request, or the server's close.
         """
         if self._socket is None:
             return False
-        if time.monotonic() - self._used_at > self._idle_life:
+        if time.monotonic() - self._used_at > self._idle_timeout:
             return False
         poll = select.poll()
         poll.register(self._socket.fileno(), select.POLLIN)
@@ -144,80 +145,82 @@
 
     @property
     def ended(self) -> bool:
-        """Whether the server has closed it, also while a request is on it."""
+        """Whether the server has closed it, also during a request."""
         if self._socket is None:
             return True
         poll = select.poll()
         poll.register(self._socket.fileno(), select.POLLRDHUP)
         return bool(poll.poll(0))
 
-    def note_rest(self) -> None:
-        """Remember for how long it has been idle, before it is used."""
+    def record_idle_time(self) -> None:
+        """Record for how long the connection has been idle."""
         self.rested = time.monotonic() - self._used_at
 
     def exchange(
         self,
         request: Request,
         timeout: float,
-        belongs: Belongs = _accept_any,
+        is_own_answer: AnswerFilter = _accept_any,
     ) -> Answer:
-        """Send a request and read its whole answer.
+        """Send a request and read its complete response.
 
         Parameters
         ----------
         request : Request
-            What to send, with its Host header.
+            Request to send, with its Host header.
         timeout : float
-            Seconds to wait for the answer.
-        belongs : callable
-            Tells by an answer's headers whether it is for this request;
-            others are passed over.
+            Seconds to wait for the response.
+        is_own_answer : callable
+            Returns whether a response belongs to this request, given its
+            headers. Other responses are skipped.
 
         Raises
         ------
         UpstreamError
-            With ``sent`` true; the connection is closed, since a late
-            answer on it would be taken for that of the next request.
+            With ``sent`` true; the connection is closed, because a late
+            response on it would be taken for that of the next request.
         """
         whole = False
         try:
             with gevent.Timeout(timeout):
-                answer = self._exchange(request, belongs)
+                answer = self._exchange(request, is_own_answer)
             whole = True
             return answer
         except gevent.Timeout as error:
-            raise self._fail(
-                ErrorCode.UPSTREAM_SILENT, f"no answer in {timeout:.3f} s"
+            raise self._make_error(
+                ErrorCode.UPSTREAM_SILENT, f"no response in {timeout:.3f} s"
             ) from error
         except (OSError, h11.ProtocolError, ValueError) as error:
             detail = f"{type(error).__name__}: {error}"
-            raise self._fail(ErrorCode.BAD_ANSWER, detail) from error
+            raise self._make_error(ErrorCode.BAD_ANSWER, detail) from error
         finally:
             if not whole:
                 self.abort()
 
-    def _fail(self, code: ErrorCode, detail: str) -> UpstreamError:
+    def _make_error(self, code: ErrorCode, detail: str) -> UpstreamError:
         return UpstreamError(
             code, Step.ANSWER, self.address, detail, sent=True
         )
 
-    def _exchange(self, request: Request, belongs: Belongs) -> Answer:
+    def _exchange(
+        self, request: Request, is_own_answer: AnswerFilter
+    ) -> Answer:
         data, parser = _format(request)
         self._socket.sendall(data)
-        for _ in range(_FOREIGN_MOST):
+        for _ in range(_MAX_ANSWERS_READ):
             answer = self._read_answer(parser)
             rest, ended = parser.trailing_data
-            if belongs(answer.headers):
+            if is_own_answer(answer.headers):
                 self._finish(answer, parser, rest, ended)
                 return answer
-            # An answer that comes a second time stands where the own one
-            # is expected; only the id tells them apart.
+            # A duplicate of an earlier response arrives where the response
+            # to this request is expected; only the id distinguishes them.
             _, parser = _format(request)
             if rest:
                 parser.receive_data(rest)
             if ended:
                 parser.receive_data(b"")
-        raise ValueError("only answers to other requests")
+        raise ValueError("received only responses to other requests")
 
     def _read_answer(self, parser: h11.Connection) -> Answer:
         head: h11.Response | None = None
@@ -225,17 +228,19 @@
         while True:
             event = parser.next_event()
             if event is h11.NEED_DATA:
-                parser.receive_data(self._socket.recv(_BLOCK))
+                parser.receive_data(self._socket.recv(_RECV_BYTES))
             elif isinstance(event, h11.Response):
                 head = event
             elif isinstance(event, h11.Data):
                 body += event.data
                 if len(body) > self._body_limit:
-                    raise ValueError(f"body over {self._body_limit} bytes")
+                    raise ValueError(
+                        f"response body larger than {self._body_limit} bytes"
+                    )
             elif isinstance(event, h11.EndOfMessage):
                 break
             elif isinstance(event, h11.ConnectionClosed):
-                raise ValueError("closed before an answer")
+                raise ValueError("connection closed before a response")
         headers = decode_headers(head.headers.raw_items())
         return Answer(head.status_code, headers, bytes(body))
 
@@ -247,53 +252,57 @@
         ended: bool,
     ) -> None:
         self._used_at = time.monotonic()
-        _note_idle_life(self, answer.headers)
+        _apply_keep_alive(self, answer.headers)
         done = parser.their_state is h11.DONE
         if rest or ended or not done:
-            # What follows a whole answer belongs to no request.
+            # Data after a complete response belongs to no request.
             self.close()
 
-    def set_idle_life(self, seconds: float) -> None:
-        """Set for how long the server keeps an idle connection."""
-        self._idle_life = min(_LONGEST_IDLE, seconds * _IDLE_SHARE)
+    def set_idle_timeout(self, seconds: float) -> None:
+        """Apply the idle timeout that the server has announced."""
+        self._idle_timeout = min(
+            _MAX_IDLE_TIMEOUT, seconds * _IDLE_TIMEOUT_FRACTION
+        )
 
     @property
     def is_open(self) -> bool:
-        """Whether it has a socket."""
+        """Whether the connection has a socket."""
         return self._socket is not None
 
     def abort(self) -> None:
-        """Close the connection and take back what has not arrived yet.
+        """Reset the connection and discard data that is not yet delivered.
 
-        After a plain close the kernel goes on sending what a cut holds up,
-        and an order given up long ago would be taken when the cut heals,
-        after newer ones. A reset drops it.
+        After a normal close, the kernel keeps retransmitting unacknowledged
+        data. An order that was given up during a network partition would be
+        delivered after it, behind newer orders. A reset discards the data.
         """
         if self._socket is not None:
             with contextlib.suppress(OSError):
                 self._socket.setsockopt(
-                    socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE
+                    socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET
                 )
         self.close()
 
     def close(self) -> None:
-        """Close the connection; closing twice does nothing."""
+        """Close the connection; has no effect when already closed."""
         if self._socket is not None:
             with contextlib.suppress(OSError):
                 self._socket.close()
             self._socket = None
 
 
-def _note_idle_life(connection: Connection, headers: Headers) -> None:
+def _apply_keep_alive(connection: Connection, headers: Headers) -> None:
     for part in (find_header(headers, "keep-alive") or "").split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.strip().isdigit():
-            connection.set_idle_life(float(value))
+            connection.set_idle_timeout(float(value))
 
 
 def _format(request: Request) -> tuple[bytes, h11.Connection]:
-    """Return a request's bytes and a parser for its answer."""
-    parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=_HEAD_BYTES)
+    """Return the bytes of a request and a parser for its response."""
+    parser = h11.Connection(
+        h11.CLIENT, max_incomplete_event_size=_MAX_HEADER_BYTES
+    )
     headers = [*request.headers]
     if request.body or request.method in ("POST", "PUT", "PATCH"):
         headers.append(("Content-Length", str(len(request.body))))
@@ -311,60 +320,61 @@
 
 
 class ConnectionPool:
-    """Idle connections to one server.
+    """Pool of idle connections to one server.
 
     Parameters
     ----------
     address : str
         ``IP:port`` of the server.
     body_limit : int
-        Largest body accepted in an answer.
-    settling : float
+        Maximum size of a response body in bytes.
+    reset_wait : float
         Seconds to wait on a new connection for a reset; see
-        :meth:`Connection.settle`.
+        :meth:`Connection.wait_for_reset`.
     """
 
     def __init__(
-        self, address: str, body_limit: int, settling: float = 0.0
+        self, address: str, body_limit: int, reset_wait: float = 0.0
     ) -> None:
         self.address = address
         self._body_limit = body_limit
-        self._settling = settling
+        self._reset_wait = reset_wait
         self._idle: list[Connection] = []
         self._closed = False
 
     def take(
-        self, timeout: float, longest_rest: float = float("inf")
+        self, timeout: float, max_idle: float = float("inf")
     ) -> Connection:
-        """Return an open connection, the one used last if any is idle.
+        """Return the most recently used idle connection, or a new one.
 
         Parameters
         ----------
         timeout : float
-            Seconds for a new connection to open.
-        longest_rest : float
-            Seconds; one that was idle for longer is left to others.
+            Seconds to wait for a new connection to open.
+        max_idle : float
+            Maximum idle time in seconds; connections that were idle for
+            longer are left in the pool.
 
         Raises
         ------
         UpstreamError
-            With ``sent`` false when none can be opened.
+            With ``sent`` false, if no connection can be opened.
         """
-        connection = self._take_idle(longest_rest)
+        connection = self._take_idle(max_idle)
         if connection is not None:
             return connection
         connection = Connection(self.address, self._body_limit)
         connection.open(timeout)
-        if self._settling:
-            connection.settle(self._settling)
+        if self._reset_wait:
+            connection.wait_for_reset(self._reset_wait)
         return connection
 
-    def _take_idle(self, longest_rest: float) -> Connection | None:
+    def _take_idle(self, max_idle: float) -> Connection | None:
         while self._idle:
             connection = self._idle[-1]
-            connection.note_rest()
-            if connection.rested > longest_rest:
-                # The one used last; the others have rested for longer.
+            connection.record_idle_time()
+            if connection.rested > max_idle:
+                # All other connections have been idle for longer.
                 return None
             self._idle.pop()
             if connection.usable:
@@ -374,25 +384,25 @@
 
     @property
     def has_idle(self) -> bool:
-        """Whether a connection is kept that nobody uses."""
+        """Whether the pool has an idle connection."""
         return bool(self._idle)
 
     def give_back(self, connection: Connection) -> None:
-        """Keep a connection for the next request, if it is still open."""
+        """Return a connection to the pool, if it is still open."""
         if self._closed:
             connection.close()
         elif connection.is_open:
             self._idle.append(connection)
 
     def prune(self) -> None:
-        """Close idle connections that nothing can be sent on any more."""
+        """Close idle connections that are no longer usable."""
         for connection in list(self._idle):
             if not connection.usable:
                 self._idle.remove(connection)
                 connection.close()
 
     def close(self) -> None:
-        """Close all idle connections, and those that come back."""
+        """Close all idle connections, and those that are returned later."""
         self._closed = True
         for connection in self._idle:
             connection.close()
--- a/sedgetide/wire/messages.py
+++ b/sedgetide/wire/messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers, whole."""
+"""Complete HTTP requests and responses."""
 
 import msgspec
 
@@ -22,19 +22,19 @@
 
 
 class Request(msgspec.Struct, frozen=True):
-    """A caller's request, read to its end.
+    """A complete HTTP request.
 
     Parameters
     ----------
     method, target : str
-        As in its first line.
+        Method and target of the request line.
     headers : list of tuple
-        In their order.
+        Names and values in their order.
     body : bytes
-        Whole; empty when there is none.
+        Complete body; empty when there is none.
     caller : str
-        IP address that it came from; empty when it did not come from a
-        connection.
+        IP address of the caller; empty when the request was not received
+        on a connection.
     """
 
     method: str
@@ -50,7 +50,10 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """A whole answer."""
+    """A complete HTTP response.
+
+    ``reusable`` is false when the connection has to be closed after it.
+    """
 
     status: int
     headers: Headers
@@ -67,7 +70,7 @@
 
 
 def drop_hop_headers(headers: Headers) -> Headers:
-    """Return headers without those that concern one connection only."""
+    """Return headers without the hop-by-hop ones."""
     named = set()
     for name, value in headers:
         if name.lower() == "connection":
@@ -80,7 +83,7 @@
 
 
 def decode_headers(raw: list[tuple[bytes, bytes]]) -> Headers:
-    """Return headers as text; HTTP/1.1 allows any byte."""
+    """Decode headers as Latin-1, because HTTP/1.1 allows any byte."""
     return [
         (name.decode("latin-1"), value.decode("latin-1"))
         for name, value in raw
@@ -88,7 +91,7 @@
 
 
 def encode_headers(headers: Headers) -> list[tuple[bytes, bytes]]:
-    """Return headers as bytes."""
+    """Encode headers as Latin-1."""
     return [
         (name.encode("latin-1"), value.encode("latin-1"))
         for name, value in headers
--- a/sedgetide/wire/probes.py
+++ b/sedgetide/wire/probes.py
@@ -1,4 +1,4 @@
-"""Whether a server's process is still there."""
+"""Probe of whether a server process is listening."""
 
 import enum
 
@@ -8,16 +8,16 @@
 
 
 class Presence(enum.Enum):
-    """What a new connection tells of a server.
+    """Result of opening a connection to a server.
 
     Attributes
     ----------
     LISTENING
-        It opened: a process is there.
+        The connection was opened: a process is listening.
     ENDED
-        It was refused: no process listens at the address.
+        The connection was refused: no process listens at the address.
     UNKNOWN
-        Nothing came back, as from a dark host or through a cut.
+        No response, because the host is down or unreachable.
     """
 
     LISTENING = "listening"
@@ -33,7 +33,7 @@
     address : str
         ``IP:port`` of the server.
     timeout : float
-        Seconds to wait for it to open.
+        Seconds to wait for the connection to open.
     """
     try:
         connection = socket.create_connection(
--- a/sedgetide/wire/server.py
+++ b/sedgetide/wire/server.py
@@ -1,4 +1,4 @@
-"""Callers' connections: pipelined requests in, answers out in order."""
+"""HTTP/1.1 server with pipelining."""
 
 import collections
 from collections.abc import Callable
@@ -13,18 +13,18 @@
 
 from sedgetide.core.configuration.policy import CallerLimits
 from sedgetide.core.requests.bodylimits import BodyBudget
-from sedgetide.wire.client import set_probes
+from sedgetide.wire.client import enable_keepalive_probes
 from sedgetide.wire.messages import Answer
 from sedgetide.wire.messages import decode_headers
 from sedgetide.wire.messages import encode_headers
 from sedgetide.wire.messages import Request
 
-_BLOCK = 64 * 1024
-_MOST_PIPELINED = 32
-_LINGER = 1.0
-# Seconds; an upload in hand has left by then.
-_CROWDED_RETRY = 1.0
-_UNBOUNDED = 1 << 62
+_RECV_BYTES = 64 * 1024
+_MAX_PIPELINED = 32
+_LINGER_TIMEOUT = 1.0
+# In seconds; a current upload has usually finished by then.
+_BUSY_RETRY_AFTER = 1.0
+_UNLIMITED_BYTES = 1 << 62
 
 _log = logging.getLogger(__name__)
 
@@ -32,7 +32,7 @@
 
 
 class _Rejected(Exception):
-    """A request that can not be read, with the status that says so."""
+    """Raised for a request that is rejected while it is read."""
 
     def __init__(self, status: int, retry_after: float | None = None) -> None:
         super().__init__(status)
@@ -46,8 +46,8 @@
         return Answer(self.status, headers, reusable=False)
 
 
-class _Turn:
-    """A request and its place in the order of answers."""
+class _PendingRequest:
+    """A pipelined request and its response."""
 
     def __init__(self, parser: h11.Connection, request: Request) -> None:
         self.parser = parser
@@ -57,18 +57,21 @@
 
 
 class Server:
-    """Accepts callers' connections and serves their requests.
+    """Accepts connections of callers and serves their requests.
 
     Parameters
     ----------
     serve : callable
-        Brings a request to its answer; killed when the caller leaves.
+        Handles a request and returns its response; killed when the caller
+        closes the connection.
     is_idempotent : callable
-        Whether a request may be worked on beside others of its connection.
+        Returns whether a request may run concurrently with others of its
+        connection.
     read_limits : callable
-        Bounds now in force.
+        Returns the limits currently in force.
     bodies : BodyBudget or None
-        Bytes of bodies that may be in hand; None: any number.
+        Limit of the total size of the request bodies in memory; None for no
+        limit.
     """
 
     def __init__(
@@ -78,7 +81,7 @@
         read_limits: Callable[[], CallerLimits],
         bodies: BodyBudget | None = None,
     ) -> None:
-        self.bodies = bodies or BodyBudget(_UNBOUNDED)
+        self.bodies = bodies or BodyBudget(_UNLIMITED_BYTES)
         self.serve = serve
         self.is_idempotent = is_idempotent
         self.read_limits = read_limits
@@ -89,7 +92,7 @@
         self._listener: socket | None = None
 
     def start(self, listener: socket) -> None:
-        """Begin to accept connections."""
+        """Start accepting connections."""
         self._listener = listener
         self._accepting = gevent.spawn(self._accept)
 
@@ -98,7 +101,7 @@
             try:
                 accepted, peer = self._listener.accept()
             except OSError as error:
-                # Out of descriptors, or a connection reset in the queue.
+                # Out of file descriptors, or a queued connection was reset.
                 _log.warning("accept failed", extra={"error": str(error)})
                 gevent.sleep(0.05)
                 continue
@@ -107,37 +110,38 @@
             gevent.spawn(connection.run)
 
     def stop_accepting(self) -> None:
-        """Take no new connections."""
+        """Stop accepting connections."""
         if self._accepting is not None:
             self._accepting.kill()
         if self._listener is not None:
             self._listener.close()
 
     def begin_stop(self) -> None:
-        """Ask callers with each answer to go elsewhere."""
+        """Close each connection after its next response."""
         self.close_after_answer = True
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing is asked."""
+        """Close the connections without a request."""
         for connection in list(self.connections):
             connection.close_if_idle()
 
 
 class CallerConnection:
-    """One caller's connection.
+    """The connection of one caller.
 
-    A reader takes requests as they come, a writer sends answers in their
-    order. The reader goes on while requests are worked on: it is the one
-    who sees that the caller has left.
+    A reader greenlet parses pipelined requests, and a writer greenlet sends
+    the responses in the order of the requests. The reader keeps reading
+    while requests are handled, to detect that the caller has closed the
+    connection.
 
     Parameters
     ----------
     server : Server
-        Who serves.
+        Server that accepted the connection.
     connection : socket
         Accepted socket.
     caller : str
-        IP address of its other end.
+        IP address of the caller.
     """
 
     def __init__(
@@ -146,36 +150,36 @@
         self._server = server
         self._socket = connection
         self._caller = caller
-        self._turns: collections.deque[_Turn] = collections.deque()
-        self._moved = Event()
+        self._pending: collections.deque[_PendingRequest] = collections.deque()
+        self._progress = Event()
         self._reading_done = False
         self._writer: gevent.Greenlet | None = None
         self._reader: gevent.Greenlet | None = None
         self._partial = False
         self._buffer = b""
-        # Bytes of bodies that this connection holds.
-        self._held = 0
+        # Bytes of request bodies reserved by this connection.
+        self._reserved_bytes = 0
 
     def run(self) -> None:
-        """RequestHandler until either side closes."""
+        """Serve requests until either side closes the connection."""
         try:
-            set_probes(self._socket)
+            enable_keepalive_probes(self._socket)
             self._reader = gevent.getcurrent()
             self._writer = gevent.spawn(self._write)
             self._read()
         except (OSError, h11.ProtocolError, gevent.Timeout):
             pass
         finally:
-            self._leave()
+            self._clean_up()
 
-    def _leave(self) -> None:
-        """Cancel what is worked on: nobody waits for it any longer."""
+    def _clean_up(self) -> None:
+        """Cancel running requests, which no caller waits for any longer."""
         self._server.connections.discard(self)
-        self._let_go(self._held)
-        for turn in self._turns:
-            if turn.task is not None and not turn.task.ready():
-                turn.task.kill(block=False)
-        self._turns.clear()
+        self._release_body(self._reserved_bytes)
+        for pending in self._pending:
+            if pending.task is not None and not pending.task.ready():
+                pending.task.kill(block=False)
+        self._pending.clear()
         if self._writer is not None:
             self._writer.kill(block=False)
         with contextlib.suppress(OSError):
@@ -183,69 +187,72 @@
 
     def close_if_idle(self) -> None:
         """Close unless a request is being read or answered."""
-        if not self._turns and not self._partial and self._reader:
+        if not self._pending and not self._partial and self._reader:
             self._reader.kill(block=False)
 
-    def _hold(self, size: int) -> None:
+    def _reserve_body(self, size: int) -> None:
         if not self._server.bodies.take(size):
-            raise _Rejected(503, _CROWDED_RETRY)
-        self._held += size
+            raise _Rejected(503, _BUSY_RETRY_AFTER)
+        self._reserved_bytes += size
 
-    def _let_go(self, size: int) -> None:
+    def _release_body(self, size: int) -> None:
         self._server.bodies.give_back(size)
-        self._held -= size
+        self._reserved_bytes -= size
 
-    # Reading
+    # Reading of requests
 
     def _read(self) -> None:
         while not self._reading_done:
             request, parser = self._read_request()
             if request is None:
                 break
-            turn = _Turn(parser, request)
-            self._wait_for_room(request)
+            pending = _PendingRequest(parser, request)
+            self._wait_for_start(request)
             if self._reading_done:
-                # It came behind an answer that closes: not read, as far
-                # as the caller can tell, and sent again elsewhere.
+                # It arrived after the last response of the connection. To
+                # the caller it is unread, and will be retried elsewhere.
                 break
-            self._turns.append(turn)
-            turn.task = gevent.spawn(self._work, turn)
+            self._pending.append(pending)
+            pending.task = gevent.spawn(self._handle, pending)
         self._watch_close()
 
-    def _wait_for_room(self, request: Request) -> None:
-        """Let unsafe requests go one after the other, others together."""
-        while self._turns:
+    def _wait_for_start(self, request: Request) -> None:
+        """Wait until a request may start.
+
+        Idempotent requests run concurrently, others one after the other.
+        """
+        while self._pending:
             alone = not self._server.is_idempotent(request) or not (
-                self._server.is_idempotent(self._turns[-1].request)
+                self._server.is_idempotent(self._pending[-1].request)
             )
-            if not alone and len(self._turns) < _MOST_PIPELINED:
+            if not alone and len(self._pending) < _MAX_PIPELINED:
                 return
             self._receive_while_busy()
 
     def _receive_while_busy(self) -> None:
-        """Wait until an answer has left, looking out for the close."""
-        self._moved.clear()
-        watcher = gevent.spawn(self._moved.wait)
+        """Buffer input until a response is sent, and detect a close."""
+        self._progress.clear()
+        watcher = gevent.spawn(self._progress.wait)
         try:
-            while not watcher.ready() and self._turns:
+            while not watcher.ready() and self._pending:
                 with gevent.Timeout(0.05, False):
                     self._buffer += self._receive()
         finally:
             watcher.kill(block=False)
 
     def _receive(self) -> bytes:
-        data = self._socket.recv(_BLOCK)
+        data = self._socket.recv(_RECV_BYTES)
         if not data:
-            raise ConnectionResetError("closed by the caller")
+            raise ConnectionResetError("connection closed by the caller")
         return data
 
     def _watch_close(self) -> None:
-        """Read on until the caller closes; what it sends is not served."""
+        """Discard input until the caller closes the connection."""
         while True:
-            with gevent.Timeout(_LINGER, False):
+            with gevent.Timeout(_LINGER_TIMEOUT, False):
                 self._receive()
                 continue
-            if not self._turns:
+            if not self._pending:
                 return
 
     def _read_request(self) -> tuple[Request | None, h11.Connection]:
@@ -269,20 +276,20 @@
     def _parse(
         self, parser: h11.Connection, limits: CallerLimits
     ) -> Request | None:
-        """Read one request; None when the caller closed before any."""
+        """Parse one request; None when the caller closed the connection."""
         head: h11.Request | None = None
         body = bytearray()
         while True:
             event = self._next_event(parser, limits)
             if isinstance(event, h11.Request):
                 head = event
-                if _has_two_lengths(event):
+                if _has_ambiguous_length(event):
                     raise _Rejected(400)
             elif isinstance(event, h11.Data):
                 body += event.data
                 if len(body) > limits.body_bytes:
                     raise _Rejected(413)
-                self._hold(len(event.data))
+                self._reserve_body(len(event.data))
             elif isinstance(event, h11.EndOfMessage):
                 return _make_request(head, bytes(body), self._caller)
             else:
@@ -300,21 +307,23 @@
                 return event
             if parser.they_are_waiting_for_100_continue:
                 self._send_continue(parser)
-            self._feed(parser, limits)
+            self._receive_into(parser, limits)
 
-    def _feed(self, parser: h11.Connection, limits: CallerLimits) -> None:
+    def _receive_into(
+        self, parser: h11.Connection, limits: CallerLimits
+    ) -> None:
         wait = limits.header_timeout if self._partial else limits.idle_timeout
         data = None
         while data is None:
             with gevent.Timeout(wait, False):
                 data = self._receive()
-            if data is None and (self._partial or not self._turns):
-                raise ConnectionAbortedError("nothing came in time")
+            if data is None and (self._partial or not self._pending):
+                raise ConnectionAbortedError("no data within the timeout")
         self._partial = True
         parser.receive_data(data)
 
     def _send_continue(self, parser: h11.Connection) -> None:
-        if not self._turns:
+        if not self._pending:
             self._socket.sendall(
                 parser.send(
                     h11.InformationalResponse(status_code=100, headers=[])
@@ -322,67 +331,69 @@
             )
 
     def _reject(self, parser: h11.Connection, answer: Answer) -> None:
-        """Answer a request that is not read, and end the connection."""
-        turn = _Turn(parser, Request("GET", "/", [], b""))
-        turn.answer = answer
-        self._turns.append(turn)
-        self._moved.set()
-        while self._turns:
+        """Send the response to a rejected request and end the connection."""
+        pending = _PendingRequest(parser, Request("GET", "/", [], b""))
+        pending.answer = answer
+        self._pending.append(pending)
+        self._progress.set()
+        while self._pending:
             gevent.sleep(0.01)
 
-    # Working and writing
+    # Handling of requests and writing of responses
 
-    def _work(self, turn: _Turn) -> None:
+    def _handle(self, pending: _PendingRequest) -> None:
         self._server.in_hand += 1
         try:
-            turn.answer = self._server.serve(turn.request)
+            pending.answer = self._server.serve(pending.request)
         except Exception:
             _log.exception("request failed")
-            turn.answer = Answer(502, [])
+            pending.answer = Answer(502, [])
         finally:
             self._server.in_hand -= 1
-            self._moved.set()
+            self._progress.set()
 
     def _write(self) -> None:
         while True:
-            while not self._turns or self._turns[0].answer is None:
-                self._moved.clear()
-                self._moved.wait()
-            turn = self._turns[0]
-            last = self._server.close_after_answer or not turn.answer.reusable
+            while not self._pending or self._pending[0].answer is None:
+                self._progress.clear()
+                self._progress.wait()
+            pending = self._pending[0]
+            last = (
+                self._server.close_after_answer or not pending.answer.reusable
+            )
             try:
-                self._socket.sendall(_format_answer(turn, last))
-                if last or turn.parser.our_state is not h11.DONE:
-                    self._end()
+                self._socket.sendall(_format_answer(pending, last))
+                if last or pending.parser.our_state is not h11.DONE:
+                    self._close_gracefully()
                     return
             except OSError:
                 self._reader.kill(block=False)
                 return
-            self._turns.popleft()
-            self._let_go(len(turn.request.body))
-            self._moved.set()
+            self._pending.popleft()
+            self._release_body(len(pending.request.body))
+            self._progress.set()
 
-    def _end(self) -> None:
-        """Close after an answer, without a reset that would destroy it.
+    def _close_gracefully(self) -> None:
+        """Close the connection so that the last response is delivered.
 
-        A socket closed with unread bytes in it is reset, and the reset
-        overtakes what the caller has not read yet.
+        Closing a socket with unread input sends a reset, which discards
+        data that the caller has not read yet.
         """
         self._reading_done = True
-        for turn in list(self._turns)[1:]:
-            if turn.task is not None:
-                turn.task.kill(block=False)
-        self._turns.clear()
+        for pending in list(self._pending)[1:]:
+            if pending.task is not None:
+                pending.task.kill(block=False)
+        self._pending.clear()
         with contextlib.suppress(OSError):
             self._socket.shutdown(SHUT_WR)
-        gevent.spawn_later(_LINGER, self._reader.kill, block=False)
+        gevent.spawn_later(_LINGER_TIMEOUT, self._reader.kill, block=False)
 
 
-def _has_two_lengths(head: h11.Request) -> bool:
-    """Tell whether a head says in two ways where its body ends.
+def _has_ambiguous_length(head: h11.Request) -> bool:
+    """Return whether both Content-Length and Transfer-Encoding are present.
 
-    Two readers may believe different ones: what is a body to one is a
-    request of its own to the other, which no caller has sent.
+    Two parsers that prefer different ones disagree on where the body ends,
+    which allows request smuggling.
     """
     names = {name for name, _ in head.headers}
     return b"content-length" in names and b"transfer-encoding" in names
@@ -398,18 +409,18 @@
     )
 
 
-def _format_answer(turn: _Turn, last: bool) -> bytes:
-    answer = turn.answer
+def _format_answer(pending: _PendingRequest, last: bool) -> bytes:
+    answer = pending.answer
     headers = [*answer.headers, ("Content-Length", str(len(answer.body)))]
     if last:
         headers.append(("Connection", "close"))
-    parser = turn.parser
+    parser = pending.parser
     data = parser.send(
         h11.Response(
             status_code=answer.status, headers=encode_headers(headers)
         )
     )
-    if answer.body and turn.request.method != "HEAD":
+    if answer.body and pending.request.method != "HEAD":
         data += parser.send(h11.Data(data=answer.body))
     data += parser.send(h11.EndOfMessage())
     return data
--- a/tests/wire/test_client.py
+++ b/tests/wire/test_client.py
@@ -24,7 +24,7 @@
 
 
 class Server:
-    """Answers each request with the next of its scripted pieces."""
+    """Answers each request with the next scripted response."""
 
     def __init__(self, *answers, close=False):
         self.answers = collections.deque(answers)
@@ -65,7 +65,7 @@
 
 
 class TestConnection(testtools.TestCase):
-    """Whole answers or an error; nothing is sent twice."""
+    """Complete responses or an error; no request is sent twice."""
 
     def serve(self, *answers, close=False):
         server = Server(*answers, close=close)
@@ -94,9 +94,9 @@
         self.assertTrue(connection.usable)
 
     def test_every_method_arrives_once(self):
-        # The upstream takes the request and closes without an answer. It
-        # may have run; a library that sends it once more by itself would
-        # have a lot accepted twice.
+        # The upstream reads the request and closes without a response. The
+        # request may have run; a client that retries automatically would
+        # run it twice.
         for method in METHODS:
             server, connection = self.serve(close=True)
             self.fail(connection, method)
@@ -121,8 +121,8 @@
         self.assertIs(ErrorCode.BAD_ANSWER, self.fail(connection).code)
 
     def test_bytes_after_an_answer_belong_to_nobody(self):
-        # The upstream sends its answer twice. Left open, the second would
-        # be read as the answer to the next caller's request.
+        # The upstream sends its response twice. If the connection stayed
+        # open, the second one would be read as that of the next request.
         _, connection = self.serve(WHOLE + WHOLE)
         connection.exchange(make_request(), 2.0)
         self.assertFalse(connection.is_open)
@@ -137,8 +137,8 @@
         self.assertFalse(connection.usable)
 
     def test_answer_to_another_request_is_passed_over(self):
-        # A second answer to the request before comes where the own one is
-        # expected. Its id is not the own one's; the next one's is.
+        # A duplicate response to the previous request, with another id,
+        # arrives where the response to this request is expected.
         other = WHOLE.replace(b"Id: 1", b"Id: 0")
         _, connection = self.serve(other + WHOLE.replace(b"ok", b"me"))
         answer = connection.exchange(
@@ -148,12 +148,12 @@
 
     def test_only_foreign_answers(self):
         _, connection = self.serve(WHOLE * 4)
-        self.fail(connection, belongs=lambda head: False)
+        self.fail(connection, is_own_answer=lambda head: False)
 
     def test_given_up_request_is_taken_back(self):
-        # A cut holds the order up in the sender's kernel. After a plain
-        # close it would be delivered when the cut heals, seconds after
-        # newer orders. The reset shows that nothing is left to deliver.
+        # A network partition holds the order in the sender's kernel. After
+        # a normal close it would be delivered when the partition ends,
+        # seconds after newer orders. A reset discards it.
         server, connection = self.serve()
         error = self.fail(connection, timeout=0.05)
         self.assertIs(ErrorCode.UPSTREAM_SILENT, error.code)
@@ -189,12 +189,11 @@
 
 
 class TestSettling(testtools.TestCase):
-    """A server that is full resets new connections."""
+    """A server without a free slot resets new connections."""
 
     def test_reset_before_the_send_proves_that_nothing_ran(self):
-        # The upstream has no room and closes what it accepts. Sent at once,
-        # an alert would count as one that may have run, and its caller
-        # could not try again.
+        # A full upstream closes connections that it has accepted. A request
+        # sent at once might have run, so that it could not be retried.
         listener = socket.socket()
         listener.bind(("127.0.0.1", 0))
         listener.listen(8)
@@ -216,7 +215,7 @@
 
 
 class TestConnectionPool(testtools.TestCase):
-    """Idle connections are used again while they are sound."""
+    """Idle connections are reused while they are usable."""
 
     def test_used_again_until_the_server_closes(self):
         server = Server(WHOLE, WHOLE)
@@ -245,7 +244,7 @@
         first.exchange(make_request(), 2.0)
         pool.give_back(first)
         gevent.sleep(0.05)
-        careful = pool.take(1.0, longest_rest=0.04)
+        careful = pool.take(1.0, max_idle=0.04)
         self.addCleanup(careful.close)
         self.assertIsNot(first, careful)
         self.assertEqual(0.0, careful.rested)
--- a/tests/wire/test_probes.py
+++ b/tests/wire/test_probes.py
@@ -1,4 +1,4 @@
-"""Tests of finding out whether a server is still there."""
+"""Tests of the probe of whether a server process is listening."""
 
 import testtools
 
--- a/tests/wire/test_server.py
+++ b/tests/wire/test_server.py
@@ -1,4 +1,4 @@
-"""Tests of callers' connections, with real sockets."""
+"""Tests of the HTTP server, with real sockets."""
 
 import contextlib
 
@@ -18,7 +18,7 @@
 
 
 class Service:
-    """Answers with the target; some targets wait for a word."""
+    """Answers with the target; some targets wait for a gate."""
 
     def __init__(self):
         self.began = []
@@ -43,7 +43,7 @@
 
 
 class TestServer(testtools.TestCase):
-    """Answers in order, closes seen at once, nothing read by mistake."""
+    """Order of responses, detection of closes, and limits of parsing."""
 
     def setUp(self):
         super().setUp()
@@ -64,9 +64,9 @@
         return client
 
     def test_uploads_that_do_not_fit_are_refused_at_once(self):
-        # Four callers upload at the same time to a host that can hold two
-        # bodies. Without the bound a few dozen end the process for lack of
-        # memory, and with it everything that it has in hand.
+        # Four callers upload concurrently to a host with memory for two
+        # bodies. Without the limit, a few dozen uploads exhaust the memory
+        # and end the process with all its running requests.
         self.server.bodies = BodyBudget(2000)
         gate = self.hold("/slow")
         upload = b"POST /slow HTTP/1.1\r\nHost: h\r\nContent-Length: 900\r\n"
@@ -138,8 +138,8 @@
         self.assertLess(data.index(b"/1"), data.index(b"/2"))
 
     def test_unsafe_request_waits_for_those_before_it(self):
-        # The caller gives up the first and means to ask again; a payment
-        # begun meanwhile behind it could not be told from one not read.
+        # The caller may give up the first request and retry both. It could
+        # not tell a second one that has already started from an unread one.
         first = self.hold("/1")
         client = self.connect()
         self.ask(client, "/1")
@@ -151,8 +151,8 @@
         self.assertEqual(["/1", "/2"], self.service.ended)
 
     def test_caller_that_leaves_ends_its_request(self):
-        # The caller closes while its upstream works. Unseen, the work goes
-        # on for nobody and takes the slot of one who waits.
+        # The caller closes the connection while its request runs. If this
+        # is not detected, the request keeps a slot that others wait for.
         self.hold("/1")
         client = self.connect()
         self.ask(client, "/1")
@@ -180,7 +180,7 @@
         self.assertEqual([], self.service.began)
 
     def test_smuggled_request_is_not_served(self):
-        # Two lengths: one reader would take the rest for a request.
+        # With two lengths, some parsers would read the rest as a request.
         client = self.connect()
         client.sendall(
             b"POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n"
