--- a/sedgetide/coding/__init__.py
+++ b/sedgetide/coding/__init__.py
@@ -1,1 +1,1 @@
-"""Typed forms of everything that is read or sent, checked on entry."""
+"""Encoding, decoding and validation of messages, settings and records."""
--- a/sedgetide/coding/addresses.py
+++ b/sedgetide/coding/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses by IP number, as ``IP:port``."""
+"""Parsing and validation of ``IP:port`` addresses."""
 
 from collections.abc import Iterator
 import ipaddress
@@ -15,12 +15,12 @@
     Raises
     ------
     ValueError
-        When the host part is no IP number or the port above 65535.
+        If the host is not an IP address or the port is above 65535.
     """
     host, _, port = address.rpartition(":")
     ipaddress.ip_address(host.strip("[]"))
     if not port.isdigit() or int(port) > MAX_PORT:
-        raise ValueError(f"port {port!r} is not a number from 0 to 65535")
+        raise ValueError(f"port {port!r}: expected a number from 0 to 65535")
     return host.strip("[]"), int(port)
 
 
@@ -28,7 +28,7 @@
 
 
 def check_address(address: str, path: str) -> Iterator[Problem]:
-    """Yield what is wrong with an address."""
+    """Yield a problem if an address is invalid."""
     try:
         split_address(address)
     except ValueError:
--- a/sedgetide/coding/checking.py
+++ b/sedgetide/coding/checking.py
@@ -1,4 +1,4 @@
-"""Check of a JSON document against Structs, with every error at once."""
+"""Validation of JSON documents against Structs, reporting all errors."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -7,7 +7,7 @@
 
 import msgspec
 
-_SHOWN_LENGTH = 60
+_MAX_SHOWN_LENGTH = 60
 
 
 class Problem(msgspec.Struct, frozen=True, order=True):
@@ -16,36 +16,36 @@
     Parameters
     ----------
     path : str
-        Where, as ``$.services[0].name``.
+        Location in the document, such as ``$.services[0].name``.
     value : str
-        What stands there, as JSON, shortened.
-    accepted : str
-        What would be accepted.
+        Value at this location as JSON, shortened.
+    expected : str
+        Description of valid values.
     """
 
     path: str
     value: str
-    accepted: str
+    expected: str
 
     def __str__(self) -> str:
-        return f"{self.path}: {self.value}: accepted is {self.accepted}"
+        return f"{self.path}: {self.value}: expected {self.expected}"
 
 
 def describe_value(value: object) -> str:
-    """Return a value as short JSON."""
+    """Return a value as JSON, shortened."""
     shown = msgspec.json.encode(value).decode()
-    if len(shown) > _SHOWN_LENGTH:
-        return shown[:_SHOWN_LENGTH] + "..."
+    if len(shown) > _MAX_SHOWN_LENGTH:
+        return shown[:_MAX_SHOWN_LENGTH] + "..."
     return shown
 
 
-def _find_struct(kind: Any) -> type[msgspec.Struct] | None:
+def _get_struct_type(kind: Any) -> type[msgspec.Struct] | None:
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
         return kind
     return None
 
 
-def _find_item(kind: Any) -> Any:
+def _get_item_type(kind: Any) -> Any:
     if get_origin(kind) not in (list, tuple):
         return None
     return get_args(kind)[0]
@@ -72,22 +72,22 @@
 
 
 def find_problems(value: Any, kind: Any, path: str = "$") -> Iterator[Problem]:
-    """Yield all places at which a document does not fit a type.
+    """Yield all problems of a document that does not match a type.
 
     Parameters
     ----------
     value : object
         Document as built-in types.
     kind : type
-        Struct, or a type that msgspec can check.
+        Struct, or another type that msgspec can validate.
     path : str
-        Place of ``value`` in the whole.
+        Location of ``value`` in the whole document.
     """
-    struct = _find_struct(kind)
+    struct = _get_struct_type(kind)
     if struct is not None and isinstance(value, dict):
         yield from _check_struct(value, struct, path)
         return
-    item = _find_item(kind)
+    item = _get_item_type(kind)
     if item is not None and isinstance(value, list):
         for index, each in enumerate(value):
             yield from find_problems(each, item, f"{path}[{index}]")
@@ -95,5 +95,5 @@
     try:
         msgspec.convert(value, kind, strict=True)
     except msgspec.ValidationError as error:
-        accepted = str(error).split(" - at ")[0]
-        yield Problem(path, describe_value(value), accepted)
+        expected = str(error).split(" - at ")[0].removeprefix("Expected ")
+        yield Problem(path, describe_value(value), expected)
--- a/sedgetide/coding/messages.py
+++ b/sedgetide/coding/messages.py
@@ -1,4 +1,4 @@
-"""Messages between the project's own processes, as MessagePack."""
+"""Messages between sedgetide processes, encoded as MessagePack."""
 
 import msgspec
 
@@ -37,36 +37,36 @@
 
 
 class Message(msgspec.Struct, array_like=True, tag_field="kind"):
-    """Base of all messages; the class name is the wire tag."""
+    """Base class of all messages; the tag identifies the type on the wire."""
 
 
 class Status(msgspec.Struct, array_like=True, frozen=True):
-    """What a process says of itself with each heartbeat.
+    """State of a process, sent with each heartbeat.
 
     Parameters
     ----------
     host, data_centre : str
-        Who is speaking.
+        Host and data centre of the sender.
     incarnation : str
-        Start of its process.
+        Identifier of this start of its process.
     clock : float
-        Its monotonic clock; requests give their expiry by it.
+        Its monotonic clock; expiry times of requests to it refer to it.
     digest : int
-        Fingerprint of the records it holds.
+        Hash of the records that it holds.
     revision : Revision
-        Newest assignment of its data centre that it knows.
+        Newest assignment of its data centre that it has.
     counting : bool
-        Whether its word counts towards a majority.
+        Whether the sender counts towards a majority.
     store_age : float or None
-        Age of the store's word it passes on.
+        Age in seconds of the newest response of the store that it relays.
     store_revision : Revision
-        Revision that word named.
+        Revision named by that response.
     store_unavailable : bool
-        Whether its last own call to the store failed.
+        Whether the sender's last own call to the store failed.
     leaving : bool
         Whether it is about to stop.
     member : Member or None
-        Addresses of a keeper that is not on the member list with them.
+        Addresses of a keeper, if the member list lacks them.
     """
 
     host: HostName
@@ -89,10 +89,10 @@
     Parameters
     ----------
     asked_at : float
-        Sender's monotonic clock; the answer echoes it.
+        Monotonic clock of the sender; echoed by the reply.
     unheard : float
-        Seconds since the sender last heard the receiver, when that is too
-        long; else 0.
+        Seconds since the sender last received a message of the receiver, if
+        that is above the limit; else 0.
     """
 
     asked_at: float
@@ -101,37 +101,37 @@
 
 
 class Pong(Message, tag="pong"):
-    """The answer to a heartbeat, with the clock value it carried."""
+    """Reply to a heartbeat, with the clock value of the heartbeat."""
 
     asked_at: float
     status: Status
 
 
 class Pull(Message, tag="pull"):
-    """Ask for the records newer than the given revisions."""
+    """Request for the records newer than the given revisions."""
 
     revisions: dict[str, Revision]
 
 
 class Records(Message, tag="records"):
-    """Records the receiver may lack."""
+    """Records that the receiver may not have."""
 
     records: list[Record]
 
 
 class LossReport(Message, tag="loss-report"):
-    """A keeper tells the assigner of shards without a living owner.
+    """Report of a keeper to the assigner about shards without an owner.
 
     Parameters
     ----------
     upstream : UpstreamName
-        Upstream the report is about.
+        Upstream that owned the shards.
     alive : bool
-        Whether it answers.
+        Whether it responds.
     lost : list
-        Shards and epochs whose owner is gone.
+        Shards whose owner is gone, with their epochs.
     released : list
-        Shards whose owner confirmed the release at the epoch.
+        Shards whose owner confirmed the release, with their epochs.
     """
 
     upstream: UpstreamName
@@ -141,28 +141,28 @@
 
 
 class Request(Message, tag="request"):
-    """A caller's request on its way to the keeper of an upstream.
+    """A caller's request, forwarded to the keeper of an upstream.
 
     Parameters
     ----------
     number : RequestId
-        Unique; pairs it with its answer.
+        Unique id that the response repeats.
     addressee : str
-        Incarnation of the keeper it was meant for. A successor at the same
-        address may get it from a buffer and could not read its expiry.
+        Incarnation of the keeper that the request is meant for. A buffer
+        may deliver it to a later process at the same address, whose clock
+        ``expires`` does not refer to.
     service, upstream : str
-        Where it goes.
+        Destination of the request.
     shard : ShardKey or None
         Shard of its key; None for a service without keys.
     epoch : Epoch
-        Epoch by which the sender chose the upstream.
+        Epoch in which the sender chose the upstream.
     expires : float
         Time by the keeper's clock after which it may not be started.
     priority : int
         Lower is more urgent.
     first_attempt : bool
-        The caller vouches that it sends the operation id for the first
-        time.
+        Whether the caller states that the operation id was not sent before.
     """
 
     number: RequestId
@@ -183,7 +183,7 @@
 
 
 class Response(Message, tag="response"):
-    """Outcome of a request."""
+    """Outcome of a forwarded request."""
 
     number: RequestId
     outcome: Outcome
@@ -197,29 +197,30 @@
 
 
 class Cancel(Message, tag="cancel"):
-    """The sender no longer waits for a request."""
+    """Notice that the sender no longer waits for a request."""
 
     number: RequestId
 
 
 class LoadReport(Message, tag="load"):
-    """A host tells the leader what its requests were about.
+    """Periodic report of a host to the leader.
 
     Parameters
     ----------
     keys : list of KeyWork
-        Work asked for since the last report.
+        Work requested per key since the last report.
     upstreams : list of UpstreamWork
-        What was seen of upstreams since then.
+        Measurements of upstreams since the last report.
     position : Position
-        Up to which the host knows what the store holds.
+        Position up to which the host has read the store.
     standing : HostStatus
-        What the host says of itself.
+        Status of the host.
     leaving : list of IncarnationName
-        Upstreams that have told the host that they are about to end; the
-        registry may not know for long.
+        Upstreams that have announced their end to the host. The registry
+        may reflect this only much later.
     limits : dict
-        Limits that the host counts as a lender, in requests a second.
+        Rate limits that the host enforces as a lender, in requests per
+        second.
     """
 
     keys: list[KeyWork]
@@ -231,16 +232,16 @@
 
 
 class Patch(msgspec.Struct, frozen=True, array_like=True):
-    """A newer version of an item as a change of an older one.
+    """A version of an item, encoded relative to an older version.
 
     Parameters
     ----------
     key : str
         Key of the item.
     position, base : Position
-        Of the newer and of the older version.
+        Positions of this version and of the older one.
     data : bytes
-        The newer value, deflated with the older one as dictionary.
+        Value, compressed with Deflate and the older value as dictionary.
     """
 
     key: str
@@ -250,24 +251,24 @@
 
 
 class StoreFeed(Message, tag="feed"):
-    """The leader passes on what the store told it.
+    """Changes of the store that the leader forwards to a host.
 
     Parameters
     ----------
     since, as_of : Position
-        The items are all that changed between these.
+        Positions between which the items are all changes.
     age : float
-        Seconds since the leader heard from the store.
+        Seconds since the last response of the store to the leader.
     disturbed : float
-        Seconds for which missing entries of the registry are not to be
-        believed yet.
+        Seconds for which upstreams without a registry entry are kept,
+        because the registry was disturbed.
     items : list of Item
-        Newest versions.
+        Newest versions of the changed items.
     hosts : int
-        Number of hosts that the leader hears of, itself included; zero
-        when it does not say.
+        Number of hosts that report to the leader, itself included; zero if
+        unknown.
     patches : list of Patch
-        Newest versions of items that the host has in older ones.
+        Newest versions of items of which the host has an older one.
     """
 
     since: Position
@@ -280,9 +281,9 @@
 
 
 class Moved(Message, tag="moved"):
-    """The leader tells hosts that moves have ended.
+    """Notice of the leader to hosts that moves of ranges have ended.
 
-    The record in the store follows with the next change.
+    The record in the store is updated with the next change.
     """
 
     service: ServiceName
@@ -290,21 +291,27 @@
 
 
 class Lenders(Message, tag="lenders"):
-    """The leader names the hosts that lend places at upstreams."""
+    """Notice of the leader which hosts are lenders.
+
+    A lender limits the requests to an upstream from all hosts: it lends
+    them the places at the upstream, one for each running request.
+    """
 
     named: LenderList
 
 
 class Quarantined(Message, tag="quarantine"):
-    """All that a host knows of requests under which upstreams ended.
+    """The quarantine of a host, synchronized between hosts.
+
+    The quarantine has the requests during which upstreams ended.
 
     Parameters
     ----------
     version : int
-        Of the sender's quarantine; the receiver answers with its own report
-        when that is another one.
+        Version of the sender's quarantine. The receiver replies with its
+        own report if its version differs.
     report : QuarantineReport
-        What it holds.
+        Content of the quarantine.
     """
 
     version: int
@@ -312,26 +319,26 @@
 
 
 class AskPlace(Message, tag="ask-place"):
-    """A host asks for a place at an upstream.
+    """Request of a host to a lender for a place at an upstream.
 
     Parameters
     ----------
     number : int
-        The sender's own; pairs the question with its answers.
+        Id chosen by the sender; replies repeat it.
     upstream : IncarnationName
-        Where.
+        Upstream at which the place is requested.
     slots : int
-        Requests that the upstream works on at a time.
+        Number of requests that the upstream runs concurrently.
     priority : int
         Lower is more urgent.
     left : float
-        Seconds within which the request's answer is needed.
+        Seconds within which the response to the request is needed.
     cold_bound : int or None
-        Most sends that its lender may allow while it is cold; None when the
-        sender takes it for warm.
+        Maximum number of sends that the lender may allow while the upstream
+        is cold; None if the sender considers it warm.
     limit : StatedLimit or None
-        Limit that the sender has heard of, by a clock that shows zero when
-        this is sent; None for none.
+        Newest rate limit of the upstream that the sender has received, with
+        times relative to the sending of this message.
     """
 
     number: int
@@ -344,16 +351,16 @@
 
 
 class PlaceVerdict(Message, tag="place"):
-    """A lender's word on a question; a queued one gets a second.
+    """Reply of a lender to AskPlace; a queued request gets a second one.
 
     Parameters
     ----------
     number : int
-        Of the question.
+        Id of the request for the place.
     verdict : Verdict
-        What the host may do.
+        Decision of the lender.
     retry_after : float
-        Seconds after which a refused caller does well to come again.
+        Seconds after which a refused caller should retry.
     """
 
     number: int
@@ -362,19 +369,19 @@
 
 
 class EndPlace(Message, tag="end-place"):
-    """A host gives a place back, or waits for it no longer.
+    """Return of a place to its lender, or cancellation of the request for it.
 
     Parameters
     ----------
     number : int
-        Of the question.
+        Id of the request for the place.
     seconds : float or None
-        How long the upstream took; None without an answer.
+        Service time of the upstream; None without a response.
     waiting : int
-        Requests that waited at the upstream itself, as it said.
+        Requests waiting at the upstream, as stated in the response.
     said : StatedLimit or None
-        What the answer said of the upstream's limit, by a clock that shows
-        zero when this is sent; None without an answer.
+        Rate limit stated in the response, with times relative to the
+        sending of this message; None without a response.
     """
 
     number: int
@@ -384,21 +391,23 @@
 
 
 class AskTrial(Message, tag="ask-trial"):
-    """A host asks for leave to run a request that upstreams ended under.
+    """Request for a trial: a single run of a suspect request.
+
+    Upstreams have ended during earlier runs of the request.
 
     Parameters
     ----------
     number : int
-        The sender's own; pairs the question with its answers.
+        Id chosen by the sender; replies repeat it.
     fingerprint : Fingerprint
-        Which request.
+        Fingerprint of the suspect request.
     left : float
-        Seconds until its caller gets a final answer at the latest.
+        Seconds until the caller's deadline.
     service : ServiceName
-        Where it goes.
+        Service that the request is sent to.
     grave : bool
-        Whether one more loss may decide about it, as far as the sender
-        knows.
+        Whether, according to the sender, one more loss of an upstream may
+        quarantine the request.
     """
 
     number: int
@@ -409,18 +418,18 @@
 
 
 class TrialVerdict(Message, tag="trial"):
-    """An answer to a question; a queued one gets a second.
+    """Reply to AskTrial; a queued request gets a second one.
 
     Parameters
     ----------
     number : int
-        Of the question.
+        Id of the request for the trial.
     verdict : Verdict
-        What the host may do.
+        Decision of the receiver.
     retry_after : float
-        Seconds after which a refused caller does well to come again.
+        Seconds after which a refused caller should retry.
     alone : bool
-        Whether no other grave suspect of its service runs meanwhile.
+        Whether no other strong suspect of its service runs meanwhile.
     """
 
     number: int
@@ -430,14 +439,14 @@
 
 
 class EndTrial(Message, tag="end-trial"):
-    """A host tells what became of a run, or waits for it no longer.
+    """Result of a trial, or cancellation of the request for it.
 
     Parameters
     ----------
     number : int
-        Of the question.
+        Id of the request for the trial.
     end : TrialEnd
-        What became of it.
+        Result of the trial.
     """
 
     number: int
@@ -468,7 +477,7 @@
 
 
 class Envelope(msgspec.Struct, array_like=True):
-    """Messages that go together, with the link address of their sender."""
+    """Messages sent together, with the link address of their sender."""
 
     sender: str
     messages: list[AnyMessage]
@@ -479,17 +488,17 @@
 
 
 def encode_envelope(envelope: Envelope) -> bytes:
-    """Return the wire form of messages."""
+    """Encode messages for the wire."""
     return _encoder.encode(envelope)
 
 
 def decode_envelope(data: bytes) -> Envelope:
-    """Read the wire form of messages.
+    """Decode messages from the wire.
 
     Raises
     ------
     LinkError
-        When the data is no messages of this project.
+        If the data is not a valid envelope.
     """
     try:
         return _decoder.decode(data)
--- a/sedgetide/coding/ranges.py
+++ b/sedgetide/coding/ranges.py
@@ -1,7 +1,7 @@
-"""Short form of a range table, as it lies in the store.
+"""Compact encoding of a range table for the store.
 
-Every host gets every version, so names of upstreams stand in it once and
-the end of a range is the beginning of the next.
+Every version is sent to every host. Therefore each upstream name is encoded
+only once, and the end of a range is implied by the start of the next.
 """
 
 import msgspec
@@ -14,10 +14,10 @@
 from sedgetide.core.ownership.ranges import RangeTable
 from sedgetide.core.ownership.ranges import Tenure
 
-_NOBODY = -1
+_NO_OWNER = -1
 
 
-class _ShortTable(msgspec.Struct, array_like=True):
+class _EncodedTable(msgspec.Struct, array_like=True):
     fence: int
     names: list[str]
     # First key, owner, fence and successor of each range.
@@ -25,48 +25,48 @@
 
 
 def encode_ranges(table: RangeTable) -> bytes:
-    """Return the short form of a table."""
-    # In an order that a move leaves as it is, so that versions differ in few
-    # bytes.
+    """Encode a range table."""
+    # The order is not changed by a move, so that successive versions differ
+    # in few bytes and compress well relative to each other.
     names = sorted(
         {each.owner for each in table.tenures}
         | {each.successor for each in table.tenures if each.moving}
     )
-    numbers = {name: index for index, name in enumerate(names)}
-    numbers[NO_UPSTREAM] = _NOBODY
+    indices = {name: index for index, name in enumerate(names)}
+    indices[NO_UPSTREAM] = _NO_OWNER
     rows = [
         (
             each.low,
-            numbers[each.owner],
+            indices[each.owner],
             each.fence,
-            numbers[each.successor],
+            indices[each.successor],
         )
         for each in table.tenures
     ]
-    return msgspec.msgpack.encode(_ShortTable(table.fence, names, rows))
+    return msgspec.msgpack.encode(_EncodedTable(table.fence, names, rows))
 
 
 def decode_ranges(value: bytes) -> RangeTable:
-    """Read the short form of a table.
+    """Decode a range table.
 
     Raises
     ------
     msgspec.MsgspecError
-        When it is no table.
+        If the value is not a range table.
     """
-    short = msgspec.msgpack.decode(value, type=_ShortTable)
-    names = [IncarnationName(name) for name in short.names]
-    ends = [row[0] - 1 for row in short.rows[1:]] + [LAST_KEY]
+    encoded = msgspec.msgpack.decode(value, type=_EncodedTable)
+    names = [IncarnationName(name) for name in encoded.names]
+    ends = [row[0] - 1 for row in encoded.rows[1:]] + [LAST_KEY]
     tenures = [
         Tenure(
             Key(low),
             Key(end),
             names[owner],
             Fence(fence),
-            NO_UPSTREAM if successor == _NOBODY else names[successor],
+            NO_UPSTREAM if successor == _NO_OWNER else names[successor],
         )
         for (low, owner, fence, successor), end in zip(
-            short.rows, ends, strict=True
+            encoded.rows, ends, strict=True
         )
     ]
-    return RangeTable(Fence(short.fence), tuple(tenures))
+    return RangeTable(Fence(encoded.fence), tuple(tenures))
--- a/sedgetide/coding/settings.py
+++ b/sedgetide/coding/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one process: a JSON file checked as a whole at start."""
+"""Settings of a process, read from a JSON file and validated at startup."""
 
 from collections.abc import Iterator
 import pathlib
@@ -27,28 +27,28 @@
 
 
 class Limits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Bounds of a process.
+    """Limits of a process.
 
     Parameters
     ----------
     body_bytes : int
-        Largest body of a request or an answer.
+        Maximum size of a request or response body.
     header_bytes : int
-        Largest sum of a request's header names and values.
+        Maximum total size of the header names and values of a request.
     requests : int
-        Requests in hand at a time.
+        Maximum number of concurrent requests.
     queue : int
-        Requests waiting for one upstream.
+        Maximum number of requests queued for one upstream.
     operations : int
-        Operation ids remembered for one upstream.
+        Maximum number of operation ids remembered for one upstream.
     operation_window : float
-        Seconds for which they are remembered.
+        Seconds for which operation ids are remembered.
     clock_skew : float
-        Largest difference of wall clocks in seconds.
+        Maximum difference between wall clocks in seconds.
     drain : float
-        Seconds a planned stop may take.
+        Maximum duration of a planned stop in seconds.
     drain_notice : float
-        Seconds between unreadiness and the end of listening.
+        Seconds between becoming unready and closing the listening socket.
     """
 
     body_bytes: PositiveInt = 16 * 1024 * 1024
@@ -65,23 +65,23 @@
 class ProcessSettings(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True
 ):
-    """Settings that every daemon has.
+    """Settings common to the entry and keeper daemons.
 
     Parameters
     ----------
     host : str
         Name of the host, unique in the deployment.
     data_centre : str
-        Data centre of the host, as named in the operators' text.
+        Data centre of the host, as named in the configuration.
     admin : str
         ``IP:port`` to listen on for metrics, state and readiness.
     link : str
-        ``IP:port`` to listen on for the project's own processes.
+        ``IP:port`` to listen on for other sedgetide processes.
     keepers : tuple of str
-        Link addresses of some keepers of the own data centre, from which
-        the others are learnt.
+        Link addresses of some keepers of the same data centre, used to
+        discover the others.
     log_level : str
-        Least severe level that is logged.
+        Minimum severity of logged events.
     """
 
     host: Name
@@ -122,7 +122,7 @@
     Parameters
     ----------
     stores : tuple of str
-        ``IP:port`` of the platform's store.
+        ``IP:port`` of the servers of the store.
     """
 
     stores: tuple[str, ...]
@@ -133,8 +133,8 @@
 ):
     """Settings of a host whose upstreams register themselves.
 
-    A deployment that sets no bound of its own has null there, which leaves
-    the default in force.
+    Null values, which a deployment writes for limits that it does not set,
+    select the default.
 
     Parameters
     ----------
@@ -143,41 +143,43 @@
     listen : str
         ``IP:port`` for callers.
     ready : str
-        ``IP:port`` at which the balancer asks for readiness.
+        ``IP:port`` of the readiness endpoint for the load balancer.
     admin : str
         ``IP:port`` for metrics and the state dump.
     link : str
-        ``IP:port`` for the project's own processes.
+        ``IP:port`` to listen on for other sedgetide processes.
     stores : tuple of str
-        ``IP:port`` of the store.
+        ``IP:port`` of the servers of the store.
     grace : float
-        Seconds between SIGTERM and the kill.
+        Seconds between SIGTERM and SIGKILL.
     max_hold_ms : float
-        Longest life of a grant that upstreams accept, in milliseconds.
+        Maximum lifetime of a grant that upstreams accept, in milliseconds.
     retry_ratio : float
-        Share of the requests for a service that all hosts together may
-        send once more; each keeps to four fifths of it on its own.
+        Fraction of the requests for a service that all hosts together may
+        retry; each host on its own limits itself to four fifths of it.
     retry_slack : float
-        Retries that all hosts together may make besides, at a time. A
-        deployment that scales its bounds by its size has fractions here.
+        Additional concurrent retries of all hosts together. Deployments
+        that scale it by their size use fractions.
     evacuate_ms : float
-        Milliseconds after which an evacuated data centre's upstreams may
-        get nothing more.
+        Milliseconds after which the upstreams of an evacuated data centre
+        may no longer receive requests.
     cold_overrun, cold_slack : float
-        Cold upstreams may get so many times the rate that their service
-        states, and so many requests a second besides.
+        A cold upstream may receive ``cold_overrun`` times the rate stated
+        by its service, plus ``cold_slack`` requests per second.
     processor_share : float
-        Share of its processors' time that the host may take.
+        Fraction of the processors' time that the host may use.
     processors : float
-        How many times as fast as one core they are.
+        Speed of the processors as a multiple of one core.
     memory_mb : float
-        Memory of the process in megabytes; bounds the bodies in hand.
+        Memory of the process in megabytes; limits the request bodies held.
     limits : Limits
-        Bounds; a planned stop takes ``grace`` less a reserve, not ``drain``.
+        Further limits. A planned stop may take ``grace`` minus a reserve;
+        ``drain`` is not used.
     durations : Durations
-        On which single ownership rests; the same on all hosts.
+        Durations that exclusive ownership depends on; must be the same on
+        all hosts.
     log_level : str
-        Least severe level that is logged.
+        Minimum severity of logged events.
     """
 
     host: Name
@@ -208,11 +210,11 @@
 
     @property
     def available_cores(self) -> float:
-        """Cores' worth of time that the host has."""
+        """Number of cores that the host may use, possibly a fraction."""
         return self.processor_share * self.processors
 
     def fit_durations(self) -> Durations:
-        """Return the durations within what upstreams accept."""
+        """Return the durations, capped at the hold that upstreams accept."""
         return self.durations.cap_holds(self.max_hold_ms / 1000.0)
 
 
@@ -228,7 +230,7 @@
         yield Problem("$.stores", "[]", "a list of one IP:port or more")
 
 
-def _refuse(path: str, detail: str) -> InputError:
+def _make_error(path: str, detail: str) -> InputError:
     return InputError(ErrorCode.BAD_SETTINGS, Step.START, path, detail)
 
 
@@ -245,12 +247,13 @@
     Raises
     ------
     InputError
-        One line with the path in the file, the value and what is accepted.
+        If the file is invalid. The detail is one line with the path in the
+        document, the value and what is expected.
     """
     try:
         document = msgspec.json.decode(pathlib.Path(path).read_bytes())
     except (OSError, msgspec.MsgspecError) as error:
-        raise _refuse(path, str(error)) from error
+        raise _make_error(path, str(error)) from error
     if kind is HostSettings and isinstance(document, dict):
         document = {
             name: value
@@ -262,5 +265,5 @@
         settings = msgspec.convert(document, kind)
         problems = list(_check_addresses(settings))
     if problems:
-        raise _refuse(path, str(problems[0]))
+        raise _make_error(path, str(problems[0]))
     return settings
--- a/sedgetide/coding/text.py
+++ b/sedgetide/coding/text.py
@@ -1,4 +1,7 @@
-"""Check of the operators' text, with every error and its path."""
+"""Validation of the operators' configuration, reporting all errors.
+
+The configuration is stored as the text that the operators have written.
+"""
 
 from collections.abc import Iterator
 
@@ -17,25 +20,27 @@
 MAX_TEXT_BYTES = 512 * 1024
 
 
-def _find_repeats(
+def _find_duplicates(
     names: Iterator[tuple[str, str]], what: str
 ) -> Iterator[Problem]:
     seen: dict[str, str] = {}
     for path, name in names:
         if name in seen:
             yield Problem(
-                path, describe_value(name), f"a {what} unlike {seen[name]}"
+                path,
+                describe_value(name),
+                f"a unique {what}, also used at {seen[name]}",
             )
         seen.setdefault(name, path)
 
 
 def _check_names(text: Text) -> Iterator[Problem]:
     services = list(enumerate(text.services))
-    yield from _find_repeats(
+    yield from _find_duplicates(
         ((f"$.services[{i}].name", s.name) for i, s in services),
         "service name",
     )
-    yield from _find_repeats(
+    yield from _find_duplicates(
         ((f"$.services[{i}].prefix", s.prefix) for i, s in services),
         "prefix",
     )
@@ -44,15 +49,15 @@
         for i, service in services
         for j, upstream in enumerate(service.upstreams)
     ]
-    yield from _find_repeats(
+    yield from _find_duplicates(
         ((f"{path}.name", each.name) for path, each in upstreams),
         "upstream name",
     )
-    yield from _find_repeats(
+    yield from _find_duplicates(
         ((f"{path}.address", each.address) for path, each in upstreams),
         "address",
     )
-    yield from _find_repeats(
+    yield from _find_duplicates(
         ((f"$.data_centres[{i}]", n) for i, n in enumerate(text.data_centres)),
         "data centre",
     )
@@ -73,16 +78,16 @@
         yield Problem(
             f"{path}.prefix",
             describe_value(service.prefix),
-            "a path of one segment or more without {key}",
+            "a path of one or more segments without {key}",
         )
     for index, home in enumerate(service.homes):
         yield from _check_known(home, centres, f"{path}.homes[{index}]")
     for index, upstream in enumerate(service.upstreams):
-        place = f"{path}.upstreams[{index}]"
+        item_path = f"{path}.upstreams[{index}]"
         yield from _check_known(
-            upstream.data_centre, centres, f"{place}.data_centre"
+            upstream.data_centre, centres, f"{item_path}.data_centre"
         )
-        yield from check_address(upstream.address, f"{place}.address")
+        yield from check_address(upstream.address, f"{item_path}.address")
     names = [each.name for each in text.services]
     for index, needed in enumerate(service.depends_on):
         yield from _check_known(needed, names, f"{path}.depends_on[{index}]")
@@ -97,22 +102,22 @@
 ) -> Iterator[Problem]:
     classes = [each.name for each in text.classes]
     for index, route in enumerate(service.routes):
-        place = f"{path}.routes[{index}]"
+        item_path = f"{path}.routes[{index}]"
         yield from _check_known(
-            route.priority_class, classes, f"{place}.class"
+            route.priority_class, classes, f"{item_path}.class"
         )
         keys = route.path.split("/").count(KEY_SEGMENT)
         if keys != int(service.keyed):
             yield Problem(
-                f"{place}.path",
+                f"{item_path}.path",
                 describe_value(route.path),
                 f"a path with {int(service.keyed)} segments {{key}}",
             )
         if not service.keyed and not route.idempotent:
-            # Without an owner there is no one place that remembers which
-            # operations ran, so a repeat could run a second time.
+            # Without an owner, no single process remembers which operations
+            # have run, so a retried operation could run twice.
             yield Problem(
-                f"{place}.idempotent", "false", "true, or a keyed service"
+                f"{item_path}.idempotent", "false", "true, or a keyed service"
             )
 
 
@@ -121,10 +126,10 @@
         return
     centres = {each.name: each.data_centre for each in service.upstreams}
     for index, pin in enumerate(service.pins):
-        place = f"{path}.pins[{index}]"
+        item_path = f"{path}.pins[{index}]"
         if pin.shard >= service.shards:
             yield Problem(
-                f"{place}.shard",
+                f"{item_path}.shard",
                 str(pin.shard),
                 f"a shard from 0 to {service.shards - 1}",
             )
@@ -132,7 +137,7 @@
         home = find_home(Shard(pin.shard), service.homes)
         if centres.get(pin.upstream) != home:
             yield Problem(
-                f"{place}.upstream",
+                f"{item_path}.upstream",
                 describe_value(pin.upstream),
                 f"an upstream of {service.name} in {home}",
             )
@@ -152,32 +157,32 @@
             yield Problem(
                 f"$.services[{index}].depends_on",
                 describe_value(list(service.depends_on)),
-                "a list that does not lead back to the service itself",
+                "a list that does not lead back to the service (a cycle)",
             )
 
 
 def check_text(content: bytes) -> tuple[Text | None, list[Problem]]:
-    """Check the operators' text as a whole.
+    """Parse and validate a configuration.
 
     Parameters
     ----------
     content : bytes
-        JSON.
+        JSON document.
 
     Returns
     -------
     text : Text or None
-        The text when it has no problem.
+        The configuration, None if it has problems.
     problems : list of Problem
-        Every error found, with its path.
+        All errors found, with their paths.
     """
     if len(content) > MAX_TEXT_BYTES:
-        accepted = f"at most {MAX_TEXT_BYTES} bytes"
-        return None, [Problem("$", f"{len(content)} bytes", accepted)]
+        expected = f"at most {MAX_TEXT_BYTES} bytes"
+        return None, [Problem("$", f"{len(content)} bytes", expected)]
     try:
         document = msgspec.json.decode(content)
     except msgspec.DecodeError as error:
-        return None, [Problem("$", "no JSON", f"JSON: {error}")]
+        return None, [Problem("$", "invalid JSON", f"JSON: {error}")]
     problems = list(find_problems(document, Text))
     if problems:
         return None, problems
@@ -192,11 +197,11 @@
 
 
 def check_change(old: Text, new: Text) -> list[Problem]:
-    """Return what a new text changes although it is fixed for life.
+    """Return the changes of a new configuration to immutable fields.
 
-    A shard's home and number are worked out by each process from the text
-    it has. Were they to change, two owners could be entitled to one key
-    while the new text spreads.
+    Each process computes the shard of a key and the shard's home from the
+    configuration that it has. If the fields changed, a key could have two
+    owners while the new configuration spreads.
     """
     problems = []
     for index, service in enumerate(new.services):
@@ -210,8 +215,8 @@
                     Problem(
                         f"$.services[{index}].{field}",
                         describe_value(now),
-                        f"{describe_value(was)}, fixed for the life of "
-                        f"{service.name}",
+                        f"{describe_value(was)}, which is immutable for "
+                        f"service {service.name}",
                     )
                 )
     return problems
--- a/sedgetide/coding/values.py
+++ b/sedgetide/coding/values.py
@@ -1,4 +1,4 @@
-"""Values kept in the platform's store."""
+"""Encoding of the values in the store."""
 
 import msgspec
 
@@ -21,7 +21,7 @@
 
 
 class StoredText(msgspec.Struct, frozen=True):
-    """The operators' text with the id of the change that wrote it."""
+    """The configuration, with the id of the change that wrote it."""
 
     change_id: ChangeId
     text: str
@@ -36,12 +36,12 @@
 
 
 def encode_text(stored: StoredText) -> bytes:
-    """Return the stored form of the operators' text."""
+    """Encode the configuration for the store."""
     return _encoder.encode(stored)
 
 
 def decode_text(value: bytes) -> StoredText:
-    """Read the stored form of the operators' text."""
+    """Decode the configuration from the store."""
     return msgspec.json.decode(value, type=StoredText)
 
 
@@ -52,7 +52,7 @@
 
 
 def encode_assignment(assignment: Assignment) -> bytes:
-    """Return the stored form of an assignment, the same for equal ones."""
+    """Encode an assignment for the store; equal ones give equal bytes."""
     rows = [
         _ShardRow(
             key.service,
@@ -73,7 +73,7 @@
 
 
 def decode_assignment(value: bytes) -> Assignment:
-    """Read the stored form of an assignment."""
+    """Decode an assignment from the store."""
     stored = msgspec.json.decode(value, type=_StoredAssignment)
     return Assignment(
         ChangeId(stored.change_id),
--- a/tests/coding/test_settings.py
+++ b/tests/coding/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of a host's settings as a deployment renders them."""
+"""Tests of the settings of a host, rendered from the deploy template."""
 
 import json
 import pathlib
@@ -55,7 +55,7 @@
 
 
 def render(figures):
-    """Fill the template in as the platform does; None: no value."""
+    """Render the template as the platform does; None means no value."""
     values = {**PLACES, **figures}
 
     def put(match):
@@ -74,7 +74,7 @@
 
 
 def draw_figure(least):
-    """Return whole, fractional, huge and absent figures from a least one."""
+    """Return a strategy of integers, fractions, huge numbers and None."""
     return strategies.one_of(
         strategies.none(),
         strategies.integers(int(least) + 1, 2**70),
@@ -83,10 +83,10 @@
 
 
 class TestHostSettings(testtools.TestCase):
-    """A host starts with every figure that a deployment may set.
+    """A host starts with every number that a deployment may set.
 
-    A host that ends at its settings is a host that never serves, and since
-    all have the same bounds, none does.
+    All hosts have the same limits, so that a rejected number would stop all
+    of them from starting.
     """
 
     @effort(max_examples=80, deadline=None, derandomize=True)
@@ -132,4 +132,4 @@
         for name, value, shown in wrong:
             error = self.assertRaises(InputError, load, {**USUAL, name: value})
             self.assertIn(shown, str(error))
-            self.assertIn("accepted is", str(error))
+            self.assertIn("expected", str(error))
--- a/tests/coding/test_text.py
+++ b/tests/coding/test_text.py
@@ -1,4 +1,4 @@
-"""Tests of the checks of settings and of the operators' text."""
+"""Tests of the validation of settings and of the configuration."""
 
 import json
 import pathlib
@@ -85,7 +85,7 @@
 
     def test_address_must_be_an_ip_number(self):
         self.map["upstreams"][0]["address"] = "example.org:80"
-        self.assert_problem("upstreams[0].address", "accepted is IP:port")
+        self.assert_problem("upstreams[0].address", "expected IP:port")
 
     def test_non_idempotent_route_needs_an_owner(self):
         self.document["services"][1]["routes"][0]["idempotent"] = False
@@ -101,8 +101,8 @@
         self.assertIn("at most", str(problems[0]))
 
     def test_shards_and_homes_are_fixed_for_life(self):
-        # While the new text spreads, two processes would look for one key
-        # in two data centres, and both could find an owner.
+        # While the new configuration spreads, two processes would look for
+        # a key in two data centres, and both could find an owner.
         old, _ = check(self.document)
         self.map["shards"] = 97
         self.map["homes"] = self.map["homes"][::-1]
