--- a/sedgetide/command/configuration.py
+++ b/sedgetide/command/configuration.py
@@ -1,4 +1,4 @@
-"""Changes of the operators' text in the store."""
+"""Reading and changing the operators' configuration in the store."""
 
 from typing import Any
 import uuid
@@ -32,20 +32,20 @@
 from sedgetide.core.ownership.keyspace import find_shard
 
 
-class Current(msgspec.Struct, frozen=True):
-    """The text in force."""
+class CurrentConfiguration(msgspec.Struct, frozen=True):
+    """The current configuration and its revision."""
 
     revision: Revision
     content: str
 
 
-def _refuse(problems: list[Problem]) -> InputError:
+def _make_error(problems: list[Problem]) -> InputError:
     lines = "\n".join(str(problem) for problem in sorted(problems))
     return InputError(ErrorCode.BAD_TEXT, Step.CHECK, "", lines)
 
 
 def parse_text(content: bytes) -> Text:
-    """Check a text.
+    """Parse and validate a configuration.
 
     Raises
     ------
@@ -54,31 +54,33 @@
     """
     text, problems = check_text(content)
     if text is None:
-        raise _refuse(problems)
+        raise _make_error(problems)
     return text
 
 
-def read_text(store: Store) -> Current:
-    """Return the text in force, empty at revision zero when none."""
+def read_text(store: Store) -> CurrentConfiguration:
+    """Return the current configuration, empty at revision zero if none."""
     record = store.read(CONFIGURATION_KEY)
     if record is None:
-        return Current(NO_REVISION, "")
-    return Current(record.revision, decode_text(record.value).text)
+        return CurrentConfiguration(NO_REVISION, "")
+    return CurrentConfiguration(
+        record.revision, decode_text(record.value).text
+    )
 
 
 def require_text(store: Store) -> Text:
-    """Return the checked text in force.
+    """Return the current configuration, parsed and validated.
 
     Raises
     ------
     InputError
-        When there is none.
+        If there is none.
     """
     return parse_text(read_text(store).content.encode())
 
 
 def read_assignment(store: Store, data_centre: DataCentre) -> Assignment:
-    """Return a data centre's assignment, empty when it has none."""
+    """Return the assignment of a data centre, empty if it has none."""
     record = store.read(build_assignment_key(data_centre))
     if record is None:
         return EMPTY_ASSIGNMENT
@@ -86,30 +88,31 @@
 
 
 def apply_text(store: Store, content: bytes, base: Revision) -> Revision:
-    """Put a text in force if the one in force still is the given base.
+    """Apply a configuration if the current one still has the base revision.
 
     Parameters
     ----------
     store : Store
-        Platform's store.
+        Store of the configuration.
     content : bytes
-        New text.
+        New configuration.
     base : Revision
-        Revision the edit started from; zero for the first text.
+        Revision that the edit started from; zero for the first
+        configuration.
 
     Returns
     -------
     Revision
-        Revision of the new text.
+        Revision of the new configuration.
 
     Raises
     ------
     InputError
-        When the text has problems or changes what is fixed.
+        If the configuration is invalid or changes immutable fields.
     StoreConflict
-        When another edit was faster; it names both revisions.
+        If it was changed concurrently; the error has both revisions.
     StoreError
-        When the store gave no answer, not even to say what took effect.
+        If the store gave no response, so that the outcome may be unknown.
     """
     text = parse_text(content)
     current = read_text(store)
@@ -120,7 +123,7 @@
     if current.content:
         problems = check_change(parse_text(current.content.encode()), text)
         if problems:
-            raise _refuse(problems)
+            raise _make_error(problems)
     stored = StoredText(ChangeId(uuid.uuid4().hex), content.decode())
     return _swap_text(store, stored, base)
 
@@ -133,15 +136,15 @@
     except StoreError as error:
         if error.code is not ErrorCode.STORE_UNCERTAIN:
             raise
-    # The answer was lost, perhaps after the change took effect. Only the
-    # change id tells an own success from another's edit.
+    # The response was lost, possibly after the change took effect. The
+    # change id distinguishes this change from a concurrent one.
     record = store.read(CONFIGURATION_KEY)
     if record is None or record.revision == base:
         raise StoreError(
             ErrorCode.STORE_UNCERTAIN,
             Step.WRITE,
             CONFIGURATION_KEY,
-            "no answer, and the store still holds the base",
+            "no response, and the store still has the base revision",
         )
     if decode_text(record.value).change_id == stored.change_id:
         return record.revision
@@ -158,19 +161,19 @@
 def pin_shard(
     store: Store, service_name: str, key: str, upstream: str
 ) -> Revision:
-    """Pin the shard of a key to an upstream in the text in force.
+    """Pin the shard of a key to an upstream in the current configuration.
 
     Raises
     ------
     InputError
-        When the service has no keys or the upstream can not own the shard.
+        If the service has no keys or the upstream cannot own the shard.
     """
     current = read_text(store)
     text = parse_text(current.content.encode())
     service = text.find_service(service_name)
     if service is None or not service.keyed:
         known = ", ".join(each.name for each in text.services if each.keyed)
-        raise _refuse(
+        raise _make_error(
             [
                 Problem(
                     "service", describe_value(service_name), f"one of {known}"
@@ -189,12 +192,12 @@
 def set_upstream_state(
     store: Store, name: str, state: UpstreamState
 ) -> Revision:
-    """Change the state of one upstream in the text in force.
+    """Change the state of an upstream in the current configuration.
 
     Raises
     ------
     InputError
-        When no upstream has the name.
+        If no upstream has the name.
     """
     current = read_text(store)
     document = msgspec.json.decode(current.content or "{}")
@@ -205,7 +208,7 @@
             if upstream["name"] == name:
                 upstream["state"] = state.value
     if name not in names:
-        raise _refuse(
+        raise _make_error(
             [
                 Problem(
                     "upstream",
--- a/sedgetide/command/explain.py
+++ b/sedgetide/command/explain.py
@@ -1,4 +1,4 @@
-"""One timeline of a request out of the logs of several hosts."""
+"""Timeline of a request, combined from the logs of several hosts."""
 
 from collections.abc import Iterator
 import datetime
@@ -13,11 +13,11 @@
 
 _PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
 _TIME = "%Y-%m-%d %H:%M:%S,%f"
-_BEFORE = datetime.timedelta(seconds=12)
-_AFTER = datetime.timedelta(seconds=1)
-_OWNERSHIP = frozenset({"owner-stopped", "order"})
-_UPSTREAM = frozenset({"upstream", "upstream-withdrawn"})
-_LEADERSHIP = frozenset(
+_WINDOW_BEFORE = datetime.timedelta(seconds=12)
+_WINDOW_AFTER = datetime.timedelta(seconds=1)
+_OWNERSHIP_EVENTS = frozenset({"owner-stopped", "order"})
+_UPSTREAM_EVENTS = frozenset({"upstream", "upstream-withdrawn"})
+_LEADERSHIP_EVENTS = frozenset(
     {
         "leading",
         "leading-no-more",
@@ -27,7 +27,7 @@
         "recovered",
     }
 )
-_OWN_HOST = frozenset(
+_HOST_EVENTS = frozenset(
     {
         "store-lost",
         "store-reached",
@@ -38,8 +38,8 @@
     }
 )
 
-# These decide about a request for as long as an hour.
-_QUARANTINE = frozenset(
+# These events affect a request for up to an hour.
+_QUARANTINE_EVENTS = frozenset(
     {
         "upstream-ended",
         "quarantined",
@@ -49,49 +49,49 @@
 )
 
 _CAUSES = {
-    ("", "window"): "its owner had no room for it in time",
+    ("", "window"): "its owner had no free place in time",
     ("", "moving"): "its range had no owner while it moved",
-    ("", "owner-gone"): "its owner had left and its range not yet moved",
-    ("", "no-owner"): "no owner of its key was known to the host",
+    ("", "owner-gone"): "its owner had ended and its range had not yet moved",
+    ("", "no-owner"): "the host knew no owner of its key",
     ("", "no-upstream"): "its service had no upstream",
-    ("", "quarantined"): "upstreams ended under it and its repeats, so it is "
-    "refused unsent",
-    ("", "limited"): "its upstream had named a limit of requests a second "
-    "for all hosts together, and this one did not fit in",
+    ("", "quarantined"): "it is quarantined, because upstreams ended during "
+    "it and its repeats",
+    ("", "limited"): "it exceeded the rate limit that its upstream had set "
+    "for all hosts together",
     (
         "",
         "backing-off",
-    ): "its upstream had asked the host to send nothing for a while",
-    ("not-owner", None): "the upstream that the host took for the owner did "
-    "not hold the key",
-    ("unreachable", None): "no connection to the upstream opened",
-    ("busy", None): "the upstream was full and said so",
+    ): "its upstream had asked the host to back off",
+    ("not-owner", None): "the upstream that the host considered the owner "
+    "did not own the key",
+    ("unreachable", None): "the connection to the upstream failed",
+    ("busy", None): "the upstream reported that it was full",
     ("declined", None): "the upstream declined it",
-    ("broken", None): "the connection broke before a whole answer was in",
-    ("foreign", None): "only answers to other requests came",
+    ("broken", None): "the connection broke before the response was complete",
+    ("foreign", None): "only responses to other requests were received",
     ("failed", None): "the upstream ran it and failed",
-    ("silent", None): "no answer came in time",
+    ("silent", None): "no response was received in time",
 }
 
 
 class Line(msgspec.Struct, frozen=True):
-    """One event of one host."""
+    """A log line: one event of one host."""
 
     at: datetime.datetime
     fields: dict[str, str]
 
     def find(self, name: str) -> str:
-        """Return a field, or an empty text."""
+        """Return the value of a field, empty if it is absent."""
         return self.fields.get(name, "")
 
 
 def parse_line(text: str) -> Line | None:
-    """Read a line of a log; None when it is none, or cut short.
+    """Parse a log line; None if it is invalid or truncated.
 
     Parameters
     ----------
     text : str
-        The line; what stands before ``time=`` is passed over.
+        Line; anything before ``time=`` is ignored.
     """
     start = text.find("time=")
     if start < 0 or not text.endswith("\n"):
@@ -108,12 +108,12 @@
 
 
 def read_lines(paths: list[pathlib.Path]) -> list[Line]:
-    """Return the events of several files, by time.
+    """Return the events of several files, sorted by time.
 
     Raises
     ------
     InputError
-        When a file can not be read.
+        If a file cannot be read.
     """
     lines = []
     for path in paths:
@@ -136,33 +136,33 @@
 
 
 def _concerns(line: Line, request: Line) -> bool:
-    """Tell whether an event may explain a request."""
+    """Return whether an event may explain the outcome of a request."""
     event = line.find("event")
-    if event in _LEADERSHIP:
+    if event in _LEADERSHIP_EVENTS:
         return True
-    if event in _OWNERSHIP:
+    if event in _OWNERSHIP_EVENTS:
         return _concerns_key(line, request.find("key"))
-    if event in _UPSTREAM:
+    if event in _UPSTREAM_EVENTS:
         tried = request.find("upstreams").split(",")
         return line.find("upstream") in tried
-    if event in _OWN_HOST:
+    if event in _HOST_EVENTS:
         return line.find("host") == request.find("host")
     return False
 
 
-def _is_about(line: Line, fingerprint: str) -> bool:
-    """Tell whether an event is about a request that ends upstreams."""
-    if not fingerprint or line.find("event") not in _QUARANTINE:
+def _concerns_fingerprint(line: Line, fingerprint: str) -> bool:
+    """Return whether an event is about the quarantine of a fingerprint."""
+    if not fingerprint or line.find("event") not in _QUARANTINE_EVENTS:
         return False
     return line.find("fingerprint") == fingerprint
 
 
-def name_cause(request: Line) -> str:
-    """Return in a sentence why a request ended as it did."""
+def describe_cause(request: Line) -> str:
+    """Return a sentence about the cause of a request's outcome."""
     if request.find("outcome") == "answered":
         return f"answered after {request.find('ms')} ms"
     if request.find("status") == "0":
-        return f"its caller left after {request.find('ms')} ms"
+        return f"its caller disconnected after {request.find('ms')} ms"
     failure, note = request.find("failure"), request.find("note")
     if failure in ("", "none"):
         return _CAUSES.get(("", note), f"unknown: {note}")
@@ -170,7 +170,7 @@
     return f"{cause} ({note})" if note else cause
 
 
-def _show(line: Line, since: datetime.datetime) -> str:
+def _format_line(line: Line, since: datetime.datetime) -> str:
     seconds = (line.at - since).total_seconds()
     fields = " ".join(
         f"{name}={value}"
@@ -182,19 +182,19 @@
 
 
 def explain_request(number: str, lines: list[Line]) -> Iterator[str]:
-    """Yield the timeline of all attempts under an id, and their causes.
+    """Yield the timelines of all attempts with an id, and their causes.
 
     Parameters
     ----------
     number : str
         Id of the request.
     lines : list of Line
-        Events of all hosts, by time.
+        Events of all hosts, sorted by time.
 
     Raises
     ------
     InputError
-        When no line tells of it.
+        If no event has the id.
     """
     found = [
         line
@@ -207,31 +207,32 @@
             ErrorCode.BAD_TEXT,
             Step.READ,
             number,
-            "no line of these files tells of it: accepted is the id of a "
-            "request of which one was logged",
+            "not found in these files: expected the id of a request that "
+            "was logged",
         )
     for request in found:
-        began = request.at - _find_length(request)
+        began = request.at - _find_duration(request)
         near = [
             line
             for line in lines
-            if _is_about(line, request.find("fingerprint"))
+            if _concerns_fingerprint(line, request.find("fingerprint"))
             or (
-                began - _BEFORE <= line.at <= request.at + _AFTER
+                began - _WINDOW_BEFORE <= line.at <= request.at + _WINDOW_AFTER
                 and (line is request or _concerns(line, request))
             )
         ]
         for line in near:
-            yield _show(line, began)
-        yield f"cause: {name_cause(request)}"
+            yield _format_line(line, began)
+        yield f"cause: {describe_cause(request)}"
         yield (
-            f"decided by version {request.find('version')}, owners' revision "
-            f"{request.find('revision')}, fence {request.find('fence')}, "
-            f"{request.find('age_ms')} ms after the store was last heard"
+            f"decided with version {request.find('version')}, range table "
+            f"revision {request.find('revision')}, fence "
+            f"{request.find('fence')}, {request.find('age_ms')} ms after the "
+            "last response of the store"
         )
 
 
-def _find_length(request: Line) -> datetime.timedelta:
+def _find_duration(request: Line) -> datetime.timedelta:
     length = request.find("ms")
     milliseconds = int(length) if length.isdigit() else 0
     return datetime.timedelta(milliseconds=milliseconds)
--- a/sedgetide/command/main.py
+++ b/sedgetide/command/main.py
@@ -1,4 +1,4 @@
-"""The command ``sedgetide``: configuration, owners, state of processes."""
+"""Command line interface ``sedgetide`` for operators."""
 
 import argparse
 from collections.abc import Iterator
@@ -39,10 +39,12 @@
     try:
         return pathlib.Path(path).read_bytes()
     except OSError as error:
-        raise SystemExit(_complain(f"{path}: {error.strerror}")) from error
+        raise SystemExit(
+            _report_bad_input(f"{path}: {error.strerror}")
+        ) from error
 
 
-def _complain(line: str) -> int:
+def _report_bad_input(line: str) -> int:
     print(f"sedgetide: {line}", file=sys.stderr)
     return EXIT_BAD_INPUT
 
@@ -52,7 +54,7 @@
         split_address(value)
     except ValueError as error:
         raise argparse.ArgumentTypeError(
-            f"{value!r}: accepted is {ADDRESS_FORM}"
+            f"{value!r}: expected {ADDRESS_FORM}"
         ) from error
     return value
 
@@ -67,14 +69,14 @@
 
 
 def check_config(options: argparse.Namespace) -> int:
-    """Print every problem of a text."""
+    """Validate a configuration file and print all its problems."""
     configuration.parse_text(_read_file(options.file))
     print("no problems")
     return EXIT_OK
 
 
 def apply_config(options: argparse.Namespace) -> int:
-    """Put a text in force."""
+    """Apply a configuration file."""
     content = _read_file(options.file)
     with _open_store(options) as store:
         revision = configuration.apply_text(
@@ -85,7 +87,7 @@
 
 
 def show_config(options: argparse.Namespace) -> int:
-    """Print the text in force and its revision."""
+    """Print the current configuration and its revision."""
     with _open_store(options) as store:
         current = configuration.read_text(store)
     print(f"revision {current.revision}", file=sys.stderr)
@@ -100,8 +102,8 @@
         service = text.find_service(options.service)
         if service is None or not service.keyed:
             known = [each.name for each in text.services if each.keyed]
-            return _complain(
-                f"service {options.service!r}: accepted is one of "
+            return _report_bad_input(
+                f"service {options.service!r}: expected one of "
                 + ", ".join(known)
             )
         shard = find_shard(options.key, service.shards)
@@ -118,7 +120,7 @@
 
 
 def drain_upstream(options: argparse.Namespace) -> int:
-    """Change an upstream's state in the text in force."""
+    """Drain an upstream, or make it active again, in the configuration."""
     state = UpstreamState.DRAINING
     if options.undo:
         state = UpstreamState.ACTIVE
@@ -151,15 +153,15 @@
 
 
 def lift_quarantine(options: argparse.Namespace) -> int:
-    """Let a request through again that hosts refuse."""
+    """Lift the quarantine of a request."""
     connection = HttpConnection(options.address, _STATE_LIMIT)
     path = f"/quarantine/{options.fingerprint}/lift"
     with contextlib.closing(connection):
         connection.open(_STORE_TIMEOUT)
         answer = connection.exchange("POST", path, (), b"", _STORE_TIMEOUT)
     if answer.status != 200:
-        return _complain(
-            f"{options.fingerprint!r}: accepted is a fingerprint in the "
+        return _report_bad_input(
+            f"{options.fingerprint!r}: expected a fingerprint in the "
             f"quarantine of `sedgetide state {options.address}`"
         )
     print("lifted")
@@ -169,7 +171,7 @@
 def _parse_fingerprint(value: str) -> str:
     if not FINGERPRINT_FORM.fullmatch(value):
         raise argparse.ArgumentTypeError(
-            f"{value!r}: accepted are 32 hexadecimal digits"
+            f"{value!r}: expected 32 hexadecimal digits"
         )
     return value
 
@@ -181,40 +183,40 @@
         required=True,
         type=_parse_address,
         metavar="IP:PORT",
-        help="address of the store; may be given again for others",
+        help="address of a server of the store; may be repeated",
     )
 
 
 def _add_config(commands: argparse._SubParsersAction) -> None:
-    config = commands.add_parser("config", help="the operators' text")
+    config = commands.add_parser("config", help="manage the configuration")
     actions = config.add_subparsers(required=True, metavar="ACTION")
-    check = actions.add_parser("check", help="print every problem of a file")
+    check = actions.add_parser("check", help="validate a configuration file")
     check.add_argument("file")
     check.set_defaults(run=check_config)
-    apply = actions.add_parser("apply", help="put a file in force")
+    apply = actions.add_parser("apply", help="apply a configuration file")
     apply.add_argument("file")
     apply.add_argument(
         "--base",
         type=int,
         required=True,
         metavar="REVISION",
-        help="revision the file was made from; 0 for the first",
+        help="revision that the file is based on; 0 if there is none yet",
     )
     _add_store(apply)
     apply.set_defaults(run=apply_config)
-    show = actions.add_parser("show", help="print the text in force")
+    show = actions.add_parser("show", help="print the current configuration")
     _add_store(show)
     show.set_defaults(run=show_config)
 
 
 def explain_request(options: argparse.Namespace) -> int:
-    """Print one timeline of a request out of the logs of all hosts."""
+    """Print the timeline of a request from the logs of all hosts."""
     try:
         lines = explain.read_lines(options.logs)
         for line in explain.explain_request(options.request, lines):
             print(line)
     except InputError as error:
-        return _complain(f"{error.peer}: {error.detail}")
+        return _report_bad_input(f"{error.peer}: {error.detail}")
     return EXIT_OK
 
 
@@ -225,12 +227,10 @@
     )
     commands = parser.add_subparsers(required=True, metavar="COMMAND")
     _add_config(commands)
-    state = commands.add_parser("state", help="dump one process")
+    state = commands.add_parser("state", help="print the state of a process")
     state.add_argument("address", type=_parse_address, metavar="IP:PORT")
     state.set_defaults(run=show_state)
-    lift = commands.add_parser(
-        "lift", help="let a request through that ended upstreams"
-    )
+    lift = commands.add_parser("lift", help="lift the quarantine of a request")
     lift.add_argument("address", type=_parse_address, metavar="IP:PORT")
     lift.add_argument("fingerprint", type=_parse_fingerprint)
     lift.set_defaults(run=lift_quarantine)
@@ -239,21 +239,21 @@
     owner.add_argument("key")
     _add_store(owner)
     owner.set_defaults(run=show_owner)
-    drain = commands.add_parser("drain", help="take an upstream out")
+    drain = commands.add_parser("drain", help="drain an upstream")
     drain.add_argument("upstream")
     drain.add_argument(
         "--undo", action="store_true", help="make it active again"
     )
     _add_store(drain)
     drain.set_defaults(run=drain_upstream)
-    move = commands.add_parser("move", help="choose the owner of a shard")
+    move = commands.add_parser("move", help="pin a shard to an upstream")
     move.add_argument("service")
     move.add_argument("key", help="any key of the shard")
     move.add_argument("upstream")
     _add_store(move)
     move.set_defaults(run=move_shard)
     reason = commands.add_parser(
-        "explain", help="tell why a request ended as it did"
+        "explain", help="print the timeline and cause of a request's outcome"
     )
     reason.add_argument("request", metavar="REQUEST-ID")
     reason.add_argument("logs", nargs="+", type=pathlib.Path, metavar="LOG")
@@ -267,7 +267,8 @@
     Returns
     -------
     int
-        0 done, 1 refused by a conflict, 2 bad input, 3 peer away.
+        Exit status: 0 success, 1 conflicting change, 2 invalid input,
+        3 peer unavailable.
     """
     options = make_parser().parse_args(arguments)
     try:
--- a/sedgetide/links/__init__.py
+++ b/sedgetide/links/__init__.py
@@ -1,4 +1,4 @@
-"""Links between the project's own processes."""
+"""Message transport between sedgetide processes."""
 
 from sedgetide.links._transport import Handler
 from sedgetide.links._transport import Transport
--- a/sedgetide/links/_transport.py
+++ b/sedgetide/links/_transport.py
@@ -1,9 +1,9 @@
-"""Messages between processes over pynng's push and pull sockets.
+"""Message transport over pynng push and pull sockets.
 
 Each process listens on one pull socket and dials a push socket to each
-peer. Pair sockets in polyamorous mode would save a connection, but drop
-messages silently as soon as two wait for one peer; a push socket says that
-it is full.
+peer. Pair sockets in polyamorous mode would need one connection less, but
+silently drop messages as soon as two are queued for a peer; a push socket
+reports that its buffer is full.
 """
 
 from collections.abc import Callable
@@ -35,10 +35,10 @@
 _log = logging.getLogger(__name__)
 
 
-def _split(
+def _batch(
     messages: list[Message], body_limit: int
 ) -> Iterator[list[Message]]:
-    """Group messages so that no group's bodies exceed the limit."""
+    """Group messages so that the bodies of no group exceed the limit."""
     group: list[Message] = []
     size = 0
     for message in messages:
@@ -53,7 +53,7 @@
 
 
 class Traffic(msgspec.Struct):
-    """What went over a process's links, without TCP's own bytes."""
+    """Counters of a process's link traffic, without TCP overhead."""
 
     sent_messages: int = 0
     sent_bytes: int = 0
@@ -61,13 +61,13 @@
 
 
 class _Outbox:
-    """A push socket to one peer."""
+    """A push socket to one peer, with the messages to be sent."""
 
     def __init__(self, address: str) -> None:
         self.address = address
         self.used_at = time.monotonic()
         self.dialled_at = self.used_at
-        self.waiting: list[Message] = []
+        self.queued: list[Message] = []
         self._socket = pynng.Push0(
             send_buffer_size=_BUFFERED_MESSAGES,
             reconnect_time_min=_RECONNECT_MS,
@@ -76,10 +76,10 @@
         self._socket.dial(f"tcp://{address}", block=False)
 
     def send(self, data: bytes) -> bool:
-        """Send without waiting; return False when the buffer is full."""
+        """Send without blocking; return False if the buffer is full."""
         self.used_at = time.monotonic()
         try:
-            # A blocking send would stop every greenlet of the process.
+            # A blocking send would block all greenlets of the process.
             self._socket.send(data, block=False)
         except pynng.TryAgain:
             return False
@@ -90,24 +90,24 @@
 
 
 class Transport:
-    """All links of one process.
+    """Links of one process to its peers.
 
     Parameters
     ----------
     address : str
         ``IP:port`` to listen on.
     body_limit : int
-        Largest body in a message, in bytes.
+        Maximum size of a body in a message, in bytes.
     handler : callable
         Called with each message and the sender's address; must not block.
-    drop : callable
-        Called with each message that was not handed over, since too many
-        wait for the peer or its connection was replaced.
+    on_drop : callable
+        Called with each message that was not sent, because the peer's
+        buffer was full or its connection was replaced.
 
     Notes
     -----
-    Messages to one peer that arise in the same turn of the event loop leave
-    as one: a send costs two switches of threads, whatever its size.
+    Messages to a peer are batched per iteration of the event loop, because
+    each send costs two thread switches, independent of its size.
     """
 
     def __init__(
@@ -115,11 +115,11 @@
         address: str,
         body_limit: int,
         handler: Handler,
-        drop: Callable[[Message], None],
+        on_drop: Callable[[Message], None],
     ) -> None:
         self.address = address
         self._handler = handler
-        self._drop = drop
+        self._on_drop = on_drop
         self._body_limit = body_limit
         self._stack = contextlib.ExitStack()
         self._outboxes: dict[str, _Outbox] = {}
@@ -129,24 +129,24 @@
         self._inbox.recv_max_size = body_limit + _ENVELOPE_BYTES
 
     def start(self) -> None:
-        """Listen and begin to hand out messages."""
+        """Listen and start delivering messages to the handler."""
         self._inbox.listen(f"tcp://{self.address}")
         spawn_vital(self._read, self._stack)
 
     def send(self, address: str, message: Message) -> None:
-        """Send a message at the end of this turn of the event loop."""
+        """Send a message at the end of this iteration of the event loop."""
         outbox = self._outboxes.get(address)
         if outbox is None:
             outbox = self._outboxes[address] = _Outbox(address)
-        if not outbox.waiting:
+        if not outbox.queued:
             gevent.get_hub().loop.run_callback(self._flush, outbox)
-        outbox.waiting.append(message)
+        outbox.queued.append(message)
 
     def redial(self, address: str, min_age: float) -> None:
-        """Replace a connection that may have gone silent.
+        """Replace a connection that may be lost.
 
-        What waits in it is dropped. Connections younger than ``min_age``
-        seconds are left alone.
+        Messages that are not yet sent are dropped. Connections younger than
+        ``min_age`` seconds are kept.
         """
         outbox = self._outboxes.get(address)
         if outbox is None or time.monotonic() - outbox.dialled_at < min_age:
@@ -155,7 +155,7 @@
         self._remove(address)
 
     def close_unused(self, age: float) -> None:
-        """Close connections on which nothing was sent for a while."""
+        """Close connections that were not used for ``age`` seconds."""
         now = time.monotonic()
         for address, outbox in list(self._outboxes.items()):
             if now - outbox.used_at > age:
@@ -173,21 +173,21 @@
         self._stack.close()
 
     def _flush(self, outbox: _Outbox) -> None:
-        messages, outbox.waiting = outbox.waiting, []
-        for group in _split(messages, self._body_limit):
+        messages, outbox.queued = outbox.queued, []
+        for group in _batch(messages, self._body_limit):
             data = encode_envelope(Envelope(self.address, group))
             self.traffic.sent_messages += len(group)
             self.traffic.sent_bytes += len(data)
             if not outbox.send(data):
                 for message in group:
-                    self._drop(message)
+                    self._on_drop(message)
 
     def _remove(self, address: str) -> None:
         outbox = self._outboxes.pop(address)
         outbox.close()
-        for message in outbox.waiting:
-            self._drop(message)
-        outbox.waiting = []
+        for message in outbox.queued:
+            self._on_drop(message)
+        outbox.queued = []
 
     def _read(self) -> None:
         reads = 0
--- a/sedgetide/runtime/__init__.py
+++ b/sedgetide/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Loops and sockets as every process of the project uses them."""
+"""Utilities shared by all daemons: tasks, sockets, clock and event log."""
--- a/sedgetide/runtime/clock.py
+++ b/sedgetide/runtime/clock.py
@@ -1,12 +1,12 @@
-"""The clock on which leases and proofs rest."""
+"""Clock for leases and other expiring rights."""
 
 import time
 
 
 def read_clock() -> float:
-    """Return seconds of a clock that runs on while the host is suspended.
+    """Return seconds of a clock that includes time in suspension.
 
-    The plain monotonic clock stands still then: a holder would wake up
-    with a lease that had run out long ago and believe in it.
+    CLOCK_MONOTONIC stops while the host is suspended, so that a process
+    would consider an expired lease valid after it resumes.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/sedgetide/runtime/events.py
+++ b/sedgetide/runtime/events.py
@@ -1,6 +1,6 @@
-"""All events that a host logs, with their fields.
+"""Events that a host logs, with their fields.
 
-The page docs/logs.md is made from this list.
+The page docs/logs.md is generated from this list.
 """
 
 import enum
@@ -12,18 +12,18 @@
 
 
 class Definition(NamedTuple):
-    """One kind of line.
+    """Definition of an event.
 
     Parameters
     ----------
     name : str
-        What stands behind ``event=``.
+        Value of ``event=`` in the log line.
     level : int
-        Severity, as of the logging module.
+        Severity, a level of the logging module.
     meaning : str
-        When it is written, for people.
+        Description for the documentation.
     fields : tuple of str
-        All that it may carry.
+        Names of all fields that the event may have.
     """
 
     name: str
@@ -33,183 +33,193 @@
 
 
 class Event(enum.Enum):
-    """Kinds of lines."""
+    """All events."""
 
     STARTED = Definition(
-        "started", logging.INFO, "The host listens.", ("listen", "incarnation")
+        "started",
+        logging.INFO,
+        "The host accepts connections.",
+        ("listen", "incarnation"),
     )
     STOPPING = Definition(
         "stopping",
         logging.INFO,
-        "SIGTERM came; callers are asked to go elsewhere.",
+        "SIGTERM was received. Callers' connections are closed after their "
+        "next response.",
         ("in_hand", "connections"),
     )
     STOPPED = Definition(
         "stopped",
         logging.INFO,
-        "The process ends; what is in hand is cut.",
+        "The process exits. Running requests (in_hand) are aborted.",
         ("in_hand", "seconds"),
     )
     RELOAD = Definition(
         "reload",
         logging.INFO,
-        "SIGHUP came; addresses and limits stay until a restart.",
+        "SIGHUP was received. Changes of addresses and limits need a restart.",
     )
     OMITTED = Definition(
         "omitted",
         logging.WARNING,
-        "Lines left out in the last second: the bound was reached or the "
-        "reader of standard output did not read.",
+        "Number of log lines dropped in the last second, because of the rate "
+        "limit or because standard output was blocked.",
         ("lines",),
     )
     STORE_LOST = Definition(
         "store-lost",
         logging.WARNING,
-        "The store gave no usable answer; what is known grows old.",
+        "The store gave no usable response. The host continues with the last "
+        "known state.",
         ("error",),
     )
     STORE_REACHED = Definition(
         "store-reached",
         logging.INFO,
-        "The store answers, for the first time or again.",
+        "The store responds, for the first time or again.",
         ("revision",),
     )
     HISTORY_LOST = Definition(
         "history-lost",
         logging.WARNING,
-        "The store forgot what came after a revision; all is listed anew.",
+        "The store no longer has the changes after a revision. All items are "
+        "listed again.",
         ("revision",),
     )
     STORE_RESTORED = Definition(
         "store-restored",
         logging.WARNING,
-        "The store has come back from an older copy; what it acknowledged "
-        "in the last seconds is gone, and its revisions count anew.",
+        "The store was restored from an older copy. Writes acknowledged in "
+        "the last seconds before are lost, and revisions are counted anew in "
+        "a new era.",
         ("era", "former"),
     )
     RELISTED = Definition(
         "relisted",
         logging.INFO,
-        "All that the store holds has been taken in after its return from a "
-        "copy. Both positions are era/revision.",
+        "All items were listed after a restore of the store. Both positions "
+        "have the form era/revision.",
         ("revision", "known"),
     )
     ERA_REFUSED = Definition(
         "era-refused",
         logging.ERROR,
-        "An answer of the store names an era that can not be read; the "
-        "answer counts for nothing.",
+        "A response of the store was ignored, because its era cannot be "
+        "parsed.",
         ("problem",),
     )
     RECORD_REFUSED = Definition(
         "record-refused",
         logging.ERROR,
-        "A record can not be read; what was known before stays in force.",
+        "A record cannot be parsed. Its previous version stays in effect.",
         ("key", "problem"),
     )
     CUT_OFF = Definition(
         "cut-off",
         logging.WARNING,
-        "This host hears neither the store nor other data centres and serves "
-        "little: it is not ready, and sends its callers elsewhere.",
+        "This host reaches neither the store nor other data centres. It is "
+        "not ready and closes callers' connections after their next response.",
         ("silence",),
     )
     REJOINED = Definition(
         "rejoined",
         logging.INFO,
-        "This host is ready again after it was cut off.",
+        "This host is ready again after a cut-off.",
         ("silence",),
     )
     ENTRY_REFUSED = Definition(
         "entry-refused",
         logging.ERROR,
-        "A registry entry can not be read. Its upstream gets no new work "
-        "and its keys move, until a readable entry comes.",
+        "A registry entry cannot be parsed. Its upstream gets no new requests "
+        "and its keys are moved, until a valid entry is written.",
         ("key", "problem"),
     )
     LOAD_REFUSED = Definition(
         "load-refused",
         logging.ERROR,
-        "What an upstream says of its load with an answer can not be read. "
-        "The answer is passed on; its load counts as unknown.",
+        "The load stated in a response of an upstream cannot be parsed. The "
+        "response is passed on; the load counts as unknown.",
         ("upstream", "problem"),
     )
     LIMITED = Definition(
         "upstream-limited",
         logging.INFO,
-        "An upstream has named another limit of requests a second for all "
-        "hosts together than before, or none any more.",
+        "An upstream has changed or removed its rate limit, in requests per "
+        "second of all hosts together.",
         ("upstream", "limit"),
     )
     LEAVING = Definition(
         "upstream-leaving",
         logging.INFO,
-        "An upstream says in an answer that it is about to end, for the "
-        "first time here.",
+        "An upstream has announced in a response, for the first time to this "
+        "host, that it is about to end.",
         ("upstream",),
     )
     BACKING_OFF = Definition(
         "upstream-backoff",
         logging.INFO,
-        "An upstream has turned a request away and wants nothing from this "
-        "host for so long. Said again only when no earlier backoff goes on.",
+        "An upstream has refused a request and asked this host to send "
+        "nothing for some seconds. Logged only if no earlier backoff is still "
+        "running.",
         ("upstream", "seconds"),
     )
     PUSHBACK_REFUSED = Definition(
         "pushback-refused",
         logging.ERROR,
-        "What an upstream asks of its senders with an answer can not be "
-        "read. The answer is passed on; what it asked before holds.",
+        "The rate limit, leaving notice or backoff in a response of an "
+        "upstream cannot be parsed. The response is passed on; the previous "
+        "values stay in effect.",
         ("upstream", "problem"),
     )
     POLICY = Definition(
         "policy",
         logging.INFO,
-        "A version of the routes is in force on this host.",
+        "A new version of the routes is in effect on this host.",
         ("version", "routes", "services"),
     )
     UPSTREAM = Definition(
         "upstream",
         logging.INFO,
         "An upstream has registered, or announced its end. The same name "
-        "with another birth is a restart: it holds no keys.",
+        "with another start time (born) means a restart; it owns no keys.",
         ("upstream", "born", "service", "address", "leaving"),
     )
     UPSTREAM_WITHDRAWN = Definition(
         "upstream-withdrawn",
         logging.INFO,
-        "An upstream's entry has disappeared. It gets no new work, unless "
-        "the store was disturbed just before.",
+        "The entry of an upstream was removed. The upstream gets no new "
+        "requests, unless the store was disturbed just before.",
         ("upstream",),
     )
     EVACUATION = Definition(
         "evacuation",
         logging.WARNING,
-        "Operators want a data centre emptied: its upstreams get no new work "
-        "and their keys move.",
+        "Operators have started the evacuation of a data centre. Its "
+        "upstreams get no new requests and their keys are moved.",
         ("data_centre",),
     )
     EVACUATED = Definition(
         "evacuated",
         logging.WARNING,
         "No upstream of an evacuated data centre owns keys any longer. "
-        "seconds: since the leader knew of the wish.",
+        "seconds: time since the leader learnt of the evacuation.",
         ("data_centre", "seconds"),
     )
     TAKEN_BACK = Definition(
         "taken-back",
         logging.WARNING,
-        "An evacuated data centre gets work again. Its upstreams count as "
-        "cold at first.",
+        "The evacuation of a data centre was cancelled. Its upstreams get "
+        "requests again and count as cold at first.",
         ("data_centre", "seconds"),
     )
     UPSTREAM_ENDED = Definition(
         "upstream-ended",
         logging.WARNING,
-        "An upstream ended while it had this request; one line for each that "
-        "it had from this host. fingerprint: the same for each repeat, "
-        "whoever asks. proof=refused: nobody listens at its address any more; "
-        "proof=withdrawn: its entry disappeared within seconds.",
+        "An upstream ended while it ran this request; one line for each "
+        "request of this host that it ran. fingerprint: equal for repeats of "
+        "a request by any caller. proof=refused: no process listens at its "
+        "address any more; proof=withdrawn: its entry was removed within "
+        "seconds.",
         (
             "upstream",
             "proof",
@@ -224,152 +234,158 @@
     TRIAL = Definition(
         "trial",
         logging.INFO,
-        "A request under which upstreams had ended was let run, the only copy "
-        "of it at all hosts. end=well: nothing speaks against it any more; "
-        "end=broken: no copy runs for a second.",
+        "A request during which upstreams had ended was run once, with no "
+        "other copy running at any host. end=well: the request is no longer "
+        "suspect; end=broken: no copy is run for a second.",
         ("id", "fingerprint", "end"),
     )
     QUARANTINED = Definition(
         "quarantined",
         logging.ERROR,
-        "A request is refused at all hosts from now on, since upstreams ended "
-        "under it and its repeats; stay: how many times in a row.",
+        "A request is refused at all hosts from now on, because upstreams "
+        "ended during it and its repeats. stay: number of quarantines in a "
+        "row.",
         ("fingerprint", "stay", "seconds"),
     )
     QUARANTINE_ENDED = Definition(
         "quarantine-ended",
         logging.WARNING,
-        "A request is let through again: its time is over, it has ended well "
-        "on some host, or an operator has lifted it.",
+        "A request is no longer refused: its quarantine has expired, it has "
+        "succeeded at a host, or an operator has lifted the quarantine.",
         ("fingerprint",),
     )
     QUARANTINE_LIFTED = Definition(
         "quarantine-lifted",
         logging.WARNING,
-        "An operator lets a request through at this host, which tells the "
-        "others.",
+        "An operator has lifted the quarantine of a request at this host, "
+        "which informs the others.",
         ("fingerprint",),
     )
     QUARANTINE_UNWRITTEN = Definition(
         "quarantine-unwritten",
         logging.WARNING,
-        "The leader could not write the quarantine to the store; hosts know "
-        "it, and it is tried again.",
+        "The leader could not write the quarantine to the store and will "
+        "retry. It is in effect on the hosts nevertheless.",
         ("error",),
     )
     LEADER = Definition(
         "leader",
         logging.INFO,
-        "Another host leads, or none.",
+        "The leader has changed; an empty leader means that there is none.",
         ("leader", "revision"),
     )
     LEADING = Definition(
         "leading",
         logging.INFO,
-        "This host leads; the term is the revision of its record.",
+        "This host was elected leader. The term is the revision of its "
+        "leadership record.",
         ("term",),
     )
     LENDERS = Definition(
         "lenders",
         logging.INFO,
-        "Other hosts lend places at upstreams; none: each host goes by its "
-        "own windows.",
+        "The hosts that lend places at upstreams have changed. Without "
+        "lenders, each host limits its requests by its own windows.",
         ("lenders", "version"),
     )
     NOT_ELECTED = Definition(
         "not-elected",
         logging.WARNING,
-        "This host stood to lead, and the store gave no usable answer.",
+        "This host was a candidate for leader, and the store gave no usable "
+        "response.",
         ("error",),
     )
     NOT_VERIFIED = Definition(
         "not-verified",
         logging.WARNING,
-        "The leader could not read its record; it orders until its last "
-        "proof is too old.",
+        "The leader could not read its leadership record. It gives orders "
+        "until its last proof of leadership is too old.",
         ("error", "age"),
     )
     LEADING_NO_MORE = Definition(
         "leading-no-more",
         logging.WARNING,
-        "This host gives no more orders.",
+        "This host is no longer the leader and gives no more orders.",
         ("reason",),
     )
     BRIDGING = Definition(
         "bridging",
         logging.WARNING,
-        "The store is silent; all grants are renewed with a longer life.",
+        "The store does not respond. All grants are renewed with a longer "
+        "lifetime.",
         ("hold",),
     )
     TABLE_WRITTEN = Definition(
         "table-written",
         logging.INFO,
-        "A new version of a service's owners is in the store.",
+        "A new version of a service's range table was written to the store.",
         ("service", "revision", "ranges", "moving", "fence"),
     )
     RECOVERING = Definition(
         "recovering",
         logging.WARNING,
-        "The store has come back from a copy: nobody gets keys of a service "
-        "before all upstreams have given back theirs, or most_seconds have "
-        "passed.",
+        "The store was restored from a copy. Keys of a service are granted "
+        "only after all upstreams have released theirs, or after "
+        "most_seconds.",
         ("service", "era", "most_seconds"),
     )
     RECOVERED = Definition(
         "recovered",
         logging.INFO,
-        "Keys of a service are granted again; released: upstreams that have "
-        "given back theirs.",
+        "Keys of a service are granted again. released: number of upstreams "
+        "that have released theirs.",
         ("service", "era", "released"),
     )
     TABLES_UNREAD = Definition(
         "tables-unread",
         logging.WARNING,
-        "A new leader could not read the owners and gives no orders yet.",
+        "A new leader could not read the range tables and gives no orders "
+        "yet.",
         ("error",),
     )
     TABLE_UNWRITTEN = Definition(
         "table-unwritten",
         logging.WARNING,
-        "A new version was refused or not answered; the record is read anew.",
+        "The write of a new range table was refused or got no response. The "
+        "record is read again.",
         ("service", "error"),
     )
     MOVES = Definition(
         "moves",
         logging.INFO,
-        "Ranges begin to move: from-to>successor.",
+        "Ranges start to move, in the form from-to>successor.",
         ("service", "reason", "moves"),
     )
     ORDER = Definition(
         "order",
         logging.INFO,
-        "An order to an upstream and what became of it; grants that were "
-        "obeyed are left out.",
+        "An order to an upstream and its result. Successful grants are not "
+        "logged.",
         ("order", "upstream", "low", "high", "fence", "taken", "detail"),
     )
     FENCE_RENEWED = Definition(
         "fence-renewed",
         logging.WARNING,
-        "A range stays with its owner at a new fence: the upstream refused "
-        "the old one, or may have started again under its name.",
+        "A range stays with its owner under a new fence, because the upstream "
+        "refused the old one, or may have restarted under the same name.",
         ("service", "upstream", "low", "high", "fence"),
     )
     OWNER_STOPPED = Definition(
         "owner-stopped",
         logging.INFO,
-        "A moving range has no owner any more, and how that is known.",
+        "A moving range no longer has an owner. proof: how this is known.",
         ("service", "upstream", "low", "high", "fence", "proof", "seconds"),
     )
     REQUEST = Definition(
         "request",
         logging.INFO,
-        "A caller's request got its final answer; status 0: the caller left "
-        "first. The fields after the times are what decided: version of the "
-        "routes, revision and fence of the owner, and for how many "
-        "milliseconds nothing was heard from the store. rested_ms: how long "
-        "the connection to the upstream had been idle; 0 on a new one. "
-        "failures: of all attempts, in order. fingerprint: where it was "
-        "looked for in the quarantine, as in upstream-ended.",
+        "A request got its final response; status 0: the caller closed the "
+        "connection before. The fields after the times are the basis of the "
+        "decision: version of the routes, revision and fence of the owner, "
+        "and milliseconds since the last response of the store. rested_ms: "
+        "idle time of the connection to the upstream before; 0 for a new "
+        "connection. failures: of all attempts, in order. fingerprint: as in "
+        "upstream-ended, if the request was looked up in the quarantine.",
         (
             "id",
             "route",
@@ -395,7 +411,7 @@
     DENIED = Definition(
         "denied",
         logging.INFO,
-        "A request was answered without a route.",
+        "A request was answered without being routed.",
         ("id", "status", "host_header", "path", "version", "age_ms"),
     )
 
@@ -409,7 +425,7 @@
     Raises
     ------
     ValueError
-        When a field is not among those of the event.
+        If the event does not have a field of this name.
     """
     definition = event.value
     if not _log.isEnabledFor(definition.level):
@@ -417,20 +433,20 @@
     unknown = fields.keys() - _FIELDS[event]
     if unknown:
         raise ValueError(
-            f"{definition.name}: {sorted(unknown)}: accepted are "
-            f"{definition.fields}"
+            f"event {definition.name}: unknown fields {sorted(unknown)}, "
+            f"expected {definition.fields}"
         )
     _log.log(definition.level, definition.name, extra=fields)
 
 
 def make_page() -> str:
-    """Return the page that documents all events."""
+    """Return the Markdown page that documents all events."""
     lines = [
         "# Logs",
         "",
-        "One line of `key=value` pairs for each event on standard output:",
-        "`time`, `level`, `event`, `host`, `program`, then the event's own.",
-        "This page is made from `sedgetide/runtime/events.py` by",
+        "Each event is one line of `key=value` pairs on standard output:",
+        "`time`, `level`, `event`, `host`, `program`, then its own fields.",
+        "This page is generated from `sedgetide/runtime/events.py` by",
         "`python -m sedgetide.runtime.events`.",
         "",
         "| event | level | when | fields |",
--- a/sedgetide/runtime/signals.py
+++ b/sedgetide/runtime/signals.py
@@ -1,4 +1,4 @@
-"""Wake-up of all who wait for the next change."""
+"""Notification of greenlets about changes."""
 
 from gevent.event import Event
 
@@ -10,10 +10,10 @@
         self._event = Event()
 
     def notify_all(self) -> None:
-        """Wake all who wait now."""
+        """Wake up all waiting greenlets."""
         event, self._event = self._event, Event()
         event.set()
 
     def wait(self, seconds: float) -> bool:
-        """Wait for the next change; return whether it came in time."""
+        """Wait for the next change; return False after a timeout."""
         return self._event.wait(max(0.0, seconds))
--- a/sedgetide/runtime/sockets.py
+++ b/sedgetide/runtime/sockets.py
@@ -1,4 +1,4 @@
-"""Listening sockets of HTTP servers."""
+"""Listening sockets."""
 
 from gevent import socket
 
@@ -6,10 +6,10 @@
 
 
 def open_listener(address: str, port: int) -> socket.socket:
-    """Return a listening socket whose connections do not delay segments.
+    """Return a listening socket with TCP_NODELAY.
 
-    Without TCP_NODELAY the second segment of a keep-alive answer waits for
-    the delayed acknowledgement of the first, some 40 ms.
+    Without it, the second segment of a response on a keep-alive connection
+    waits about 40 ms for the delayed acknowledgement of the first one.
     """
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/sedgetide/runtime/tasks.py
+++ b/sedgetide/runtime/tasks.py
@@ -1,4 +1,4 @@
-"""Loops a daemon can not do without."""
+"""Background tasks that a daemon depends on."""
 
 from collections.abc import Callable
 import contextlib
@@ -12,26 +12,29 @@
 _log = logging.getLogger(__name__)
 
 
-def _abort(task: gevent.Greenlet) -> None:
-    """End the process when one of its loops has died.
+def _exit_on_failure(task: gevent.Greenlet) -> None:
+    """Exit the process after one of its tasks has failed.
 
-    A keeper whose heartbeats go on while its renewals have stopped would
-    hold its upstreams' keys dark; once it is gone, another takes over.
+    If a keeper sent heartbeats while its renewals have stopped, the keys of
+    its upstreams would stay unavailable. After it has exited, another keeper
+    takes over.
     """
     _log.critical("task failed", extra={"task": str(task)})
     os._exit(EXIT_TASK_FAILED)
 
 
 def spawn_vital(loop: Callable[[], None], stack: contextlib.ExitStack) -> None:
-    """Run a loop until the stack is closed.
+    """Run a task until the stack is closed.
+
+    The process exits if the task raises an exception.
 
     Parameters
     ----------
     loop : callable
-        Must handle all errors that are to be expected.
+        Function that runs forever and handles all expected errors.
     stack : contextlib.ExitStack
-        Ends the loop.
+        Kills the task when it is closed.
     """
     task = gevent.spawn(loop)
-    task.link_exception(_abort)
+    task.link_exception(_exit_on_failure)
     stack.callback(task.kill)
--- a/tests/command/test_explain.py
+++ b/tests/command/test_explain.py
@@ -1,4 +1,4 @@
-"""Tests of the way from a request's id to its cause."""
+"""Tests of the timeline and cause of a request."""
 
 import contextlib
 import io
@@ -42,7 +42,7 @@
 
 
 class TestExplain(testtools.TestCase):
-    """Lines of several hosts become one timeline."""
+    """Logs of several hosts are combined into one timeline."""
 
     def setUp(self):
         super().setUp()
@@ -66,13 +66,13 @@
         text = "\n".join(self.explain("r-2"))
         self.assertIn("upstream=u-3", text)
         self.assertNotIn("upstream=u-4", text)
-        self.assertIn("broke before a whole answer was in", text)
+        self.assertIn("broke before the response was complete", text)
         self.assertIn("reset by peer", text)
 
     def test_refused_since_upstreams_ended_under_it(self):
-        # The losses that decided it may be many minutes old.
+        # The events that caused a quarantine may be many minutes old.
         text = "\n".join(self.explain("r-3"))
-        self.assertIn("upstreams ended under it and its repeats", text)
+        self.assertIn("upstreams ended during it and its repeats", text)
         self.assertIn("upstream=u-1", text)
         self.assertNotIn("upstream=u-2", text)
 
--- a/tests/command/test_main.py
+++ b/tests/command/test_main.py
@@ -25,7 +25,7 @@
 
 
 class LosingStore(HttpStore):
-    """Loses the answer of a change after it took effect."""
+    """Loses the response to a change after it took effect."""
 
     before_loss = staticmethod(lambda: None)
 
@@ -36,7 +36,7 @@
 
 
 class Process(Inspectable):
-    """Refuses one request."""
+    """Has one request in its quarantine."""
 
     held = "0123456789abcdef" * 2
 
@@ -51,7 +51,7 @@
 
 
 class LiftTest(testtools.TestCase):
-    """Letting a request through that hosts refuse."""
+    """Lifting the quarantine of a request."""
 
     def run_lift(self, fingerprint):
         out, err = io.StringIO(), io.StringIO()
@@ -73,7 +73,7 @@
     def test_request_that_is_not_held(self):
         code, said = self.run_lift("f" * 32)
         self.assertEqual(2, code)
-        self.assertIn("accepted is a fingerprint", said)
+        self.assertIn("expected a fingerprint", said)
 
     def test_no_fingerprint(self):
         code, said = self.run_lift("../state")
@@ -123,8 +123,8 @@
         self.assertEqual(json.loads(EXAMPLE.read_text()), json.loads(shown))
 
     def test_loser_of_a_race_is_told_both_revisions(self):
-        # Two operators edit revision 1. The second to apply must not undo
-        # the first one's change without knowing of it.
+        # Two operators edit revision 1. The second one to apply must not
+        # silently revert the change of the first.
         self.apply(0)
         self.apply(1)
         code, _, err = self.apply(1)
@@ -175,8 +175,8 @@
         self.assertIn("127.0.0.1:1", err)
 
     def test_lost_answer_of_an_own_change_is_success(self):
-        # The operator sees a failure although the text is in force, and
-        # edits again from the wrong base: the change id tells it is ours.
+        # Guards against reporting a failure although the change took
+        # effect; the change id identifies it.
         store = LosingStore([self.address], 5.0)
         self.addCleanup(store.close)
         content = EXAMPLE.read_bytes()
@@ -184,8 +184,8 @@
         self.assertEqual(1, revision)
 
     def test_lost_answer_hides_no_conflict(self):
-        # Between the change and the read-back another edit came in. Its
-        # revision must not be reported as that of the lost change.
+        # Another edit is applied between the change and the read-back. Its
+        # revision must not be reported as that of the first change.
         store = LosingStore([self.address], 5.0)
         self.addCleanup(store.close)
         store.before_loss = lambda: self.apply(1)
--- a/tests/links/test_transport.py
+++ b/tests/links/test_transport.py
@@ -1,4 +1,4 @@
-"""Tests of links between two mails of this process."""
+"""Tests of the transport between two instances in this process."""
 
 import gevent
 from gevent.queue import Queue
@@ -19,8 +19,8 @@
     return Response(RequestId(str(number)), Outcome.UNKNOWN, body=b"x" * size)
 
 
-class MailTest(testtools.TestCase):
-    def make_mail(self):
+class TransportTest(testtools.TestCase):
+    def make_transport(self):
         received = Queue()
         dropped = []
         transport = Transport(
@@ -33,8 +33,8 @@
         return transport, received, dropped
 
     def test_message_arrives_with_its_sender(self):
-        one, _, _ = self.make_mail()
-        two, received, _ = self.make_mail()
+        one, _, _ = self.make_transport()
+        two, received, _ = self.make_transport()
         two.start()
         one.send(two.address, Cancel(RequestId("7")))
         message, sender = received.get(timeout=TIMEOUT)
@@ -42,10 +42,10 @@
         self.assertEqual(one.address, sender)
 
     def test_burst_to_one_peer_arrives_whole_and_in_order(self):
-        # A socket that drops when two messages wait would leave callers
-        # without their answers, and no error anywhere.
-        one, _, _ = self.make_mail()
-        two, received, _ = self.make_mail()
+        # A socket that drops messages when two are queued would lose
+        # responses to callers without any error.
+        one, _, _ = self.make_transport()
+        two, received, _ = self.make_transport()
         two.start()
         for number in range(2000):
             one.send(two.address, make_response(number))
@@ -57,9 +57,9 @@
         self.assertEqual([str(number) for number in range(2000)], numbers)
 
     def test_large_bodies_do_not_go_together(self):
-        # Together they would exceed what the receiver takes.
-        one, _, _ = self.make_mail()
-        two, received, _ = self.make_mail()
+        # Together they would exceed the receiver's size limit.
+        one, _, _ = self.make_transport()
+        two, received, _ = self.make_transport()
         two.start()
         for number in range(3):
             one.send(two.address, make_response(number, BODY_LIMIT))
@@ -69,9 +69,9 @@
             self.assertEqual(BODY_LIMIT, len(message.body))
 
     def test_redial_reports_what_was_not_handed_over(self):
-        # A request in there was never sent, so it can truly be refused.
-        one, _, dropped = self.make_mail()
-        two, received, _ = self.make_mail()
+        # A queued request was never sent, so it is known not to have run.
+        one, _, dropped = self.make_transport()
+        two, received, _ = self.make_transport()
         two.start()
         one.send(two.address, make_response(1))
         one.redial(two.address, 0.0)
@@ -81,6 +81,6 @@
         self.assertEqual("2", message.number)
 
     def test_stranger_bytes_are_refused(self):
-        one, received, _ = self.make_mail()
+        one, received, _ = self.make_transport()
         one._deliver(b"not a message")
         self.assertTrue(received.empty())
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""Tests of the deploy file and what it needs."""
+"""Tests of the deployment files."""
 
 import pathlib
 import tomllib
@@ -6,7 +6,7 @@
 import testtools
 
 ROOT = pathlib.Path(__file__).parents[1]
-# The host daemon runs without these; the others go on needing them.
+# The host daemon does not need these; the other programs do.
 NOT_DEPLOYED = {"geventhttpclient"}
 
 
@@ -15,7 +15,7 @@
 
 
 class TestDeploy(testtools.TestCase):
-    """One source of versions, and a start without a shell."""
+    """Requirements match the project, and the run command is valid."""
 
     def test_requirements_are_those_of_the_project(self):
         project = tomllib.loads((ROOT / "pyproject.toml").read_text())
