--- a/tests/backends/test_connection.py
+++ b/tests/backends/test_connection.py
@@ -242,7 +242,7 @@
         self.addCleanup(client.close)
         self.assertEqual(b"2", self.ask_twice(client).answer.body)
 
-    def test_they_would_without_the_safeguards(self):
+    def test_answers_cross_without_the_safeguards(self):
         server = SlowServer(b"")
         self.addCleanup(server.close)
         client = ForgetfulUpstream(server.address, LIMIT, 1.0)
--- a/tests/coding/test_settings.py
+++ b/tests/coding/test_settings.py
@@ -19,7 +19,7 @@
 
 ROOT = pathlib.Path(__file__).parents[2]
 TEMPLATE = (ROOT / "deploy" / "settings.json.template").read_text()
-PLACES = {
+NAMES_AND_ADDRESSES = {
     "node": "host-1",
     "zone": "north",
     "listen.front": "10.1.0.1:80",
@@ -28,7 +28,7 @@
     "internal-ports.0": 7720,
     "platform.address": "10.1.0.2:90",
 }
-FIGURES = {
+MINIMUMS = {
     "bounds.grace-s": 0,
     "bounds.max-hold-ms": 1000,
     "bounds.retry-budget-ratio": 0,
@@ -40,7 +40,7 @@
     "limits.cores": 0.001,
     "limits.memory-mb": 1,
 }
-USUAL = {
+TYPICAL = {
     "bounds.grace-s": 6,
     "bounds.max-hold-ms": 10_000,
     "bounds.retry-budget-ratio": 0.2,
@@ -54,9 +54,9 @@
 }
 
 
-def render(figures):
+def render(numbers):
     """Render the template as the platform does; None means no value."""
-    values = {**PLACES, **figures}
+    values = {**NAMES_AND_ADDRESSES, **numbers}
 
     def put(match):
         name, _, form = match[1].partition("|")
@@ -66,19 +66,19 @@
     return re.sub(r"\{\{([^}]+)\}\}", put, TEMPLATE)
 
 
-def load(figures):
+def load(numbers):
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
-        file.write(render(figures))
+        file.write(render(numbers))
         file.flush()
         return load_settings(file.name, HostSettings)
 
 
-def draw_figure(least):
+def draw_number(minimum):
     """Return a strategy of integers, fractions, huge numbers and None."""
     return strategies.one_of(
         strategies.none(),
-        strategies.integers(int(least) + 1, 2**70),
-        strategies.floats(least, 1e300, allow_nan=False),
+        strategies.integers(int(minimum) + 1, 2**70),
+        strategies.floats(minimum, 1e300, allow_nan=False),
     )
 
 
@@ -92,14 +92,14 @@
     @effort(max_examples=80, deadline=None, derandomize=True)
     @given(
         strategies.fixed_dictionaries(
-            {name: draw_figure(least) for name, least in FIGURES.items()}
+            {name: draw_number(minimum) for name, minimum in MINIMUMS.items()}
         )
     )
-    @example({**USUAL, "bounds.retry-budget-slack": 30.714285714285715})
-    @example(dict.fromkeys(FIGURES))
-    @example(FIGURES)
-    def test_any_figure_of_a_deployment_starts_a_host(self, figures):
-        found = load(figures)
+    @example({**TYPICAL, "bounds.retry-budget-slack": 30.714285714285715})
+    @example(dict.fromkeys(MINIMUMS))
+    @example(MINIMUMS)
+    def test_host_starts_with_any_number_of_a_deployment(self, numbers):
+        found = load(numbers)
         durations = found.fit_durations()
         self.assertGreater(durations.renew, 0.3)
         self.assertGreaterEqual(found.available_cores, 0)
@@ -111,8 +111,8 @@
         evacuations.start("north", 9.0, 10.0)
         self.assertTrue(evacuations.is_evacuating("north"))
 
-    def test_figures_reach_their_settings(self):
-        found = load({**USUAL, "bounds.retry-budget-slack": 30.71})
+    def test_numbers_reach_their_settings(self):
+        found = load({**TYPICAL, "bounds.retry-budget-slack": 30.71})
         self.assertEqual(30.71, found.retry_slack)
         self.assertEqual(6.0, found.grace)
         self.assertAlmostEqual(0.43, found.available_cores)
@@ -120,7 +120,7 @@
         self.assertEqual(1.5, found.cold_overrun)
         self.assertEqual(8.0, found.cold_slack)
 
-    def test_figure_that_nothing_can_run_with_is_named(self):
+    def test_unusable_number_is_reported(self):
         wrong = (
             ("bounds.retry-budget-slack", True, "$.retry_slack: true"),
             ("bounds.retry-budget-ratio", -0.1, "$.retry_ratio: -0.1"),
@@ -130,6 +130,8 @@
             ("limits.cores", "two", '$.processors: "two"'),
         )
         for name, value, shown in wrong:
-            error = self.assertRaises(InputError, load, {**USUAL, name: value})
+            error = self.assertRaises(
+                InputError, load, {**TYPICAL, name: value}
+            )
             self.assertIn(shown, str(error))
-            self.assertIn("expected", str(error))
+            self.assertIn(": expected ", str(error))
--- a/tests/links/test_transport.py
+++ b/tests/links/test_transport.py
@@ -80,7 +80,7 @@
         message, _ = received.get(timeout=TIMEOUT)
         self.assertEqual("2", message.number)
 
-    def test_stranger_bytes_are_refused(self):
+    def test_invalid_bytes_are_refused(self):
         one, received, _ = self.make_transport()
         one._deliver(b"not a message")
         self.assertTrue(received.empty())
--- a/tests/platform/test_foreign_entries.py
+++ b/tests/platform/test_foreign_entries.py
@@ -124,14 +124,14 @@
         self.check(bytes(value[:end]))
 
 
-class TestWishes(testtools.TestCase):
+class TestEvacuationRequests(testtools.TestCase):
     """Evacuation requests with arbitrary names and values."""
 
     @given(
         strategies.text(max_size=40),
         strategies.one_of(strategies.none(), strategies.binary(max_size=20)),
     )
-    def test_any_wish_is_taken(self, name, value):
+    def test_any_evacuation_request_is_accepted(self, name, value):
         deployment = DeploymentState(PlatformRegistry())
         key = "op/evacuate/" + name
         deployment.apply_items([Item(key, Position(0, 5), value)], 1.0)
@@ -140,7 +140,7 @@
         deployment.apply_items([Item(key, Position(0, 6), None)], 2.0)
         self.assertEqual([], evacuations.list_evacuating())
 
-    def test_host_that_starts_knows_before_it_sends(self):
+    def test_starting_host_applies_evacuation_before_it_sends(self):
         """A host that starts during an evacuation honours it at once.
 
         Its first listing has the upstreams, the owners and the evacuation
@@ -156,7 +156,7 @@
         name = deployment.directory.list_all()[0].name
         self.assertIsNone(deployment.directory.find_serving(name, 100.0))
 
-    def test_wish_that_ends_while_history_is_lost(self):
+    def test_evacuation_cancelled_while_history_is_lost(self):
         deployment = DeploymentState(PlatformRegistry(), Evacuations(5.0))
         deployment.apply_items(
             [Item("op/evacuate/z", Position(0, 5), b"{}")], 1.0
@@ -166,7 +166,7 @@
             [], deployment.directory.evacuations.list_evacuating()
         )
 
-    def test_older_wish_changes_nothing(self):
+    def test_older_evacuation_request_is_ignored(self):
         deployment = DeploymentState(PlatformRegistry(), Evacuations(5.0))
         deployment.apply_items(
             [Item("op/evacuate/z", Position(0, 7), None)], 1.0
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -44,8 +44,8 @@
     def setUp(self):
         super().setUp()
         self.store = ScriptedStore()
-        self.heard = []
-        self.store.eras.subscribe(self.heard.append)
+        self.seen_eras = []
+        self.store.eras.subscribe(self.seen_eras.append)
 
     def listing(self, era, more=False):
         page = {"as-of": 9, "items": [ITEM], "has-more": more}
@@ -60,43 +60,43 @@
             found = self.list(era)
             self.assertEqual(position, found.position)
             self.assertEqual(position.era, found.items[0].position.era)
-        self.assertEqual([3], self.heard)
+        self.assertEqual([3], self.seen_eras)
 
     def test_refusal_names_an_era_too(self):
         # An error response reveals a restore as well as a successful one.
         self.list(3)
         self.store.answer(4, {}, 429)
         self.assertRaises(StoreError, self.store.read, "k")
-        self.assertEqual([4], self.heard)
+        self.assertEqual([4], self.seen_eras)
 
-    def test_answer_of_an_earlier_era_counts_for_nothing(self):
+    def test_answer_of_an_earlier_era_is_ignored(self):
         # The response was already in flight when the store was restored.
         self.list(4)
         for era in (3, None):
             self.store.answer(era, ITEM)
             self.assertRaises(StoreError, self.store.read, "k")
 
-    def test_answer_whose_era_is_unreadable_counts_for_nothing(self):
+    def test_answer_whose_era_is_unreadable_is_ignored(self):
         # Guards against guessing the era of a response.
         self.list(4)
         self.store.answer("x", ITEM)
         self.assertRaises(StoreError, self.store.read, "k")
         self.assertEqual(1, self.store.eras.refused)
 
-    def test_listing_that_spans_a_return_is_none(self):
+    def test_listing_that_spans_a_restore_fails(self):
         # Guards against combining pages of two states in one listing.
         self.listing(3, more=True)
         self.listing(4)
         self.assertRaises(StoreError, self.store.list, "")
 
-    def test_watch_that_spans_a_return_has_lost_its_history(self):
+    def test_watch_that_spans_a_restore_loses_its_history(self):
         # Guards against changes that are missed without a 410: after the
         # restore, revisions may already have passed the start of the watch.
         since = self.list(3).position
         self.store.answer(4, {"as-of": 12, "events": [ITEM]})
         self.assertRaises(HistoryLost, self.store.watch, "", since, 1.0)
 
-    def test_watch_of_an_era_that_is_over_asks_nobody(self):
+    def test_watch_of_an_era_that_is_over_is_not_sent(self):
         since = self.list(3).position
         self.store.eras.note(4)
         self.assertRaises(HistoryLost, self.store.watch, "", since, 1.0)
@@ -106,7 +106,7 @@
         expected = {"k": Position(era, 4)}
         return self.store.transact(era, expected, [Write("k", b"x")])
 
-    def test_write_that_spans_a_return_has_failed(self):
+    def test_write_that_spans_a_restore_fails(self):
         # The write took effect on a state that the client has not read.
         self.list(3)
         self.store.answer(4, {"revision": 10})
--- a/tests/platform/test_storeeras.py
+++ b/tests/platform/test_storeeras.py
@@ -14,7 +14,7 @@
         for name in ("Store-Era", "store-era", "Sedgetide-Store-Era"):
             self.assertEqual(7, read_era([("Host", "x"), (name, "7")]))
 
-    def test_store_that_names_none(self):
+    def test_answer_without_an_era(self):
         self.assertEqual(FIRST_ERA, read_era([("Content-Type", "x")]))
 
     def test_era_that_is_named_twice(self):
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -31,7 +31,7 @@
     for name, value in vars(NAMES).items()
     if name.isupper() and isinstance(value, str) and len(value) > 4
 ]
-MOST_LINES = 900
+MAX_LINES = 900
 
 
 class TestConfinement(testtools.TestCase):
@@ -48,7 +48,7 @@
     def test_folder_stays_small(self):
         paths = (ROOT / "sedgetide" / "platform").glob("*.py")
         lines = sum(len(path.read_text().splitlines()) for path in paths)
-        self.assertLess(lines, MOST_LINES)
+        self.assertLess(lines, MAX_LINES)
 
     def test_only_testing_and_the_folder_import_it(self):
         found = subprocess.run(
@@ -173,7 +173,7 @@
         self.assertFalse(found.leaving)
         self.assertEqual(1, len(found.problems))
 
-    def test_rest_that_an_upstream_asks_for(self):
+    def test_backoff_that_an_upstream_asks_for(self):
         headers = [("Retry-After", "1.5")]
         found = self.dialect.read_pushback(503, headers)
         self.assertEqual(Pushback(backoff=1.5), found)
@@ -274,15 +274,15 @@
         self.assertEqual([b"", b"x"], values)
 
 
-class TestCatalogue(testtools.TestCase):
+class TestRegistry(testtools.TestCase):
     """Registry entries and configurations."""
 
     def setUp(self):
         super().setUp()
-        self.catalogue = PlatformRegistry()
+        self.registry = PlatformRegistry()
 
     def test_entry(self):
-        entry = self.catalogue.read(
+        entry = self.registry.read(
             "servers/i-7f3a",
             b'{"address":"10.128.0.9:8080","info":{"service":"huvo11a",'
             b'"version":"v1","zone":"sala-milano","slots":2},"status":'
@@ -317,12 +317,10 @@
             "services": {"columns": columns, "rows": rows},
             "base-version": "r5",
         }
-        policy = self.catalogue.read(
-            "op/config", msgspec.json.encode(document)
-        )
+        policy = self.registry.read("op/config", msgspec.json.encode(document))
         return policy.services
 
-    def test_cold_figures_of_a_service(self):
+    def test_cold_start_numbers_of_a_service(self):
         columns = ["name", "warmup-s", "warmup-per-s", "news"]
         rows = [["a", 3, 4.2, 1], ["b", None, None, None], ["c", 0, 0]]
         found = self.read_services(columns, rows)
@@ -330,7 +328,7 @@
         self.assertIsNone(found["b"].cold_rate)
         self.assertEqual(0.0, found["c"].cold_rate)
 
-    def test_odd_cold_figures_are_named(self):
+    def test_invalid_cold_start_numbers_are_reported(self):
         for value in ("4", -1, True, [], 1e300, 2**63):
             error = self.assertRaises(
                 InputError,
@@ -341,9 +339,9 @@
             self.assertIn("expected", str(error))
 
     def test_starts_have_names_of_their_own(self):
-        first = self.catalogue.read("servers/i-1", self.make_entry())
+        first = self.registry.read("servers/i-1", self.make_entry())
         later = self.make_entry(("born",), 1_780_000_009_000)
-        second = self.catalogue.read("servers/i-1", later)
+        second = self.registry.read("servers/i-1", later)
         self.assertNotEqual(first.name, second.name)
         self.assertEqual("i-1", second.registered_name)
         self.assertLess(first.born, second.born)
@@ -379,7 +377,7 @@
         ):
             entry = self.make_entry(path, value)
             error = self.assertRaises(
-                UnreadableEntry, self.catalogue.read, "servers/i-1", entry
+                UnreadableEntry, self.registry.read, "servers/i-1", entry
             )
             self.assertEqual("i-1", error.upstream, f"{path} {value}")
 
@@ -387,7 +385,7 @@
         for name in ("", "i 1", "i\r\nx", "i-\u00e9", "x" * 201):
             self.assertRaises(
                 UnreadableEntry,
-                self.catalogue.read,
+                self.registry.read,
                 f"servers/{name}",
                 self.make_entry(),
             )
@@ -402,17 +400,17 @@
             b'{"status":{"warmup-left-ms":NaN}}',
         ):
             self.assertRaises(
-                UnreadableEntry, self.catalogue.read, "servers/i-1", value
+                UnreadableEntry, self.registry.read, "servers/i-1", value
             )
 
     def test_entry_gone(self):
-        gone = self.catalogue.read("servers/i-7f3a", None)
+        gone = self.registry.read("servers/i-7f3a", None)
         self.assertEqual(UpstreamWithdrawn("i-7f3a"), gone)
 
     def test_configuration_with_fractions(self):
         # Limits that scale with the size of a deployment may be fractions;
         # rejecting the policy would leave every host without routes.
-        policy = self.catalogue.read(
+        policy = self.registry.read(
             "op/config",
             msgspec.json.encode(
                 {
@@ -439,7 +437,7 @@
         self.assertEqual(1048576, policy.limits.body_bytes)
 
     def test_configuration(self):
-        policy = self.catalogue.read(
+        policy = self.registry.read(
             "op/config",
             msgspec.json.encode(
                 {
@@ -507,9 +505,9 @@
     def test_unreadable_entries_are_named(self):
         for key in ("servers/i-1", "op/config"):
             error = self.assertRaises(
-                InputError, self.catalogue.read, key, b'{"x": 1}'
+                InputError, self.registry.read, key, b'{"x": 1}'
             )
             self.assertEqual(key, error.peer)
 
-    def test_other_keys_say_nothing(self):
-        self.assertIsNone(self.catalogue.read("else/where", b"x"))
+    def test_other_keys_are_ignored(self):
+        self.assertIsNone(self.registry.read("else/where", b"x"))
--- a/tests/wire/test_client.py
+++ b/tests/wire/test_client.py
@@ -188,7 +188,7 @@
         self.assertFalse(connection.usable)
 
 
-class TestSettling(testtools.TestCase):
+class TestWaitForReset(testtools.TestCase):
     """A server without a free slot resets new connections."""
 
     def test_reset_before_the_send_proves_that_nothing_ran(self):
@@ -235,7 +235,7 @@
         pool.close()
         self.assertFalse(second.is_open)
 
-    def test_rested_connection_is_left_to_those_who_may_repeat(self):
+    def test_connection_idle_for_too_long_stays_in_the_pool(self):
         server = Server(WHOLE, WHOLE)
         self.addCleanup(server.close)
         pool = ConnectionPool(server.address, LIMIT)
