--- a/sedgetide/coding/messages.py
+++ b/sedgetide/coding/messages.py
@@ -261,7 +261,7 @@
         Seconds since the last response of the store to the leader.
     disturbed : float
         Seconds for which upstreams without a registry entry are kept,
-        because the registry was disturbed.
+        because of a recent outage of the registry.
     items : list of Item
         Newest versions of the changed items.
     hosts : int
--- a/sedgetide/runtime/events.py
+++ b/sedgetide/runtime/events.py
@@ -188,7 +188,7 @@
         "upstream-withdrawn",
         logging.INFO,
         "The entry of an upstream was removed. The upstream gets no new "
-        "requests, unless the store was disturbed just before.",
+        "requests, unless the store had an outage just before.",
         ("upstream",),
     )
     EVACUATION = Definition(
