--- a/sedgetide/runtime/events.py
+++ b/sedgetide/runtime/events.py
@@ -117,8 +117,9 @@
     CUT_OFF = Definition(
         "cut-off",
         logging.WARNING,
-        "This host reaches neither the store nor other data centres. It is "
-        "not ready and closes callers' connections after their next response.",
+        "This host reaches neither the store nor other data centres. It can "
+        "serve few requests, is not ready, and closes callers' connections "
+        "after their next response.",
         ("silence",),
     )
     REJOINED = Definition(
