--- a/tests/platform/test_foreign_entries.py
+++ b/tests/platform/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""Entries of other writers, drawn at random: none ends the follower."""
+"""Property tests: no registry entry of another writer stops a host."""
 
 import string
 
@@ -62,7 +62,7 @@
 
 
 def replace_field(path, value):
-    """Return a good entry in which one field is something else."""
+    """Return a valid entry with one field replaced."""
     entry = {
         name: dict(each) if isinstance(each, dict) else each
         for name, each in GOOD.items()
@@ -77,10 +77,10 @@
 
 
 class TestForeignEntries(testtools.TestCase):
-    """What is not of an upstream is refused, whatever it holds."""
+    """Entries not written by an upstream are rejected as unreadable."""
 
     def read(self, value):
-        """Return what the catalogue makes of bytes; None when refused."""
+        """Return the parsed entry, or None when it is unreadable."""
         try:
             return PlatformRegistry().read(KEY, value)
         except UnreadableEntry as error:
@@ -124,14 +124,14 @@
         self.check(bytes(value[:end]))
 
 
-class TestWishes(testtools.TestCase):
-    """Operators' items under odd names and with odd bytes."""
+class TestEvacuationRequests(testtools.TestCase):
+    """Evacuation requests with arbitrary names and values."""
 
     @given(
         strategies.text(max_size=40),
         strategies.one_of(strategies.none(), strategies.binary(max_size=20)),
     )
-    def test_any_wish_is_taken(self, name, value):
+    def test_any_evacuation_request_is_accepted(self, name, value):
         deployment = DeploymentState(PlatformRegistry())
         key = "op/evacuate/" + name
         deployment.apply_items([Item(key, Position(0, 5), value)], 1.0)
@@ -140,12 +140,12 @@
         deployment.apply_items([Item(key, Position(0, 6), None)], 2.0)
         self.assertEqual([], evacuations.list_evacuating())
 
-    def test_host_that_starts_knows_before_it_sends(self):
-        """All hosts are lost while a data centre is evacuated.
+    def test_starting_host_applies_evacuation_before_it_sends(self):
+        """A host that starts during an evacuation honours it at once.
 
-        What they list first has the upstreams, the owners and the wish. A
-        request sent there before the wish is read would reach it long after
-        it has to be empty.
+        Its first listing has the upstreams, the owners and the evacuation
+        request. Reading the latter last would send requests to the data
+        centre long after the deadline by which it has to be empty.
         """
         deployment = DeploymentState(PlatformRegistry(), Evacuations(5.0))
         items = [
@@ -156,7 +156,7 @@
         name = deployment.directory.list_all()[0].name
         self.assertIsNone(deployment.directory.find_serving(name, 100.0))
 
-    def test_wish_that_ends_while_history_is_lost(self):
+    def test_evacuation_cancelled_while_history_is_lost(self):
         deployment = DeploymentState(PlatformRegistry(), Evacuations(5.0))
         deployment.apply_items(
             [Item("op/evacuate/z", Position(0, 5), b"{}")], 1.0
@@ -166,7 +166,7 @@
             [], deployment.directory.evacuations.list_evacuating()
         )
 
-    def test_older_wish_changes_nothing(self):
+    def test_older_evacuation_request_is_ignored(self):
         deployment = DeploymentState(PlatformRegistry(), Evacuations(5.0))
         deployment.apply_items(
             [Item("op/evacuate/z", Position(0, 7), None)], 1.0
