--- a/sedgetide/core/membership/datacentre.py
+++ b/sedgetide/core/membership/datacentre.py
@@ -1,7 +1,8 @@
-"""What one keeper knows of its data centre, and what it may do about it.
+"""A keeper's view of its data centre and the decisions based on it.
 
-Members, who is alive, who assigns, who watches, who keeps which upstream,
-and the next change of the assignment. Nothing here does I/O.
+The view covers the members and their liveness, the assigner, the hosts that
+watch the store, the keeper of each upstream, and the next change of the
+assignment. This module does no I/O.
 """
 
 from collections.abc import Iterable
@@ -40,27 +41,28 @@
 from sedgetide.core.ownership.planning import PlanningInput
 from sedgetide.core.timing import Timing
 
-WATCHERS = 2
-# A keeper repeats a report, and a joiner its question, with each heartbeat.
+WATCHER_COUNT = 2
+# Seconds. Keepers repeat their reports, and joining hosts their requests, with
+# each heartbeat.
 _REPORT_LIFE = 1.0
 _ABSENT_AFTER = 60.0
 
 
 class MemberReport(msgspec.Struct, frozen=True):
-    """What a member says of its knowledge.
+    """Statement of a member about the state that it knows.
 
     Parameters
     ----------
     revision : Revision
-        Newest assignment it knows of.
+        Newest assignment that the member knows.
     counting : bool
-        Whether its word counts.
+        Whether the member counts towards a majority.
     store_age : float or None
-        Age of the store's word it passes on.
+        Age of the store read that the member passes on.
     store_revision : Revision
-        Revision that word named.
+        Revision found by that read.
     store_unavailable : bool
-        Whether its last own call to the store failed.
+        Whether the member's own last call to the store failed.
     """
 
     revision: Revision
@@ -78,7 +80,7 @@
     assignment : Assignment
         Next version.
     expected : Revision
-        Revision it was made from.
+        Revision on which it is based.
     """
 
     assignment: Assignment
@@ -86,36 +88,36 @@
 
 
 def _list_pins(
-    text: Text, takers: Mapping[ServiceName, list[UpstreamName]]
+    text: Text, eligible: Mapping[ServiceName, list[UpstreamName]]
 ) -> dict[ShardKey, UpstreamName]:
-    """Return the pins to upstreams that may be given shards now."""
+    """Return the pins to upstreams that are eligible now."""
     return {
         ShardKey(ServiceName(service.name), Shard(pin.shard)): UpstreamName(
             pin.upstream
         )
         for service in text.services
         for pin in service.pins
-        if pin.upstream in takers[ServiceName(service.name)]
+        if pin.upstream in eligible[ServiceName(service.name)]
     }
 
 
 class DataCentreView:
-    """Decisions of one keeper about its data centre.
+    """State and decisions of one keeper about its data centre.
 
     Parameters
     ----------
     host : HostName
         Host of the keeper.
     data_centre : DataCentre
-        Its data centre.
+        Data centre of the keeper.
     member : Member
-        Its addresses.
+        Addresses of the keeper.
     timing : Timing
-        Durations.
+        Durations shared by all hosts.
     liveness : Liveness
-        Who answers, by link address.
+        Liveness of peers by link address.
     now : float
-        Own clock at the start of the process.
+        Local clock at the start of the process.
     """
 
     def __init__(
@@ -134,7 +136,7 @@
         self.revision = NO_REVISION
         self.leaving = False
         self.store_unavailable = False
-        self._away: set[HostName] = set()
+        self._hosts_without_store: set[HostName] = set()
         self.authority = Authority(host, timing.proof_life)
         self.tracker = ReleaseTracker(host)
         self._member = member
@@ -144,17 +146,17 @@
         self._joiners: dict[HostName, tuple[float, Member]] = {}
         self._reports: dict[UpstreamName, tuple[float, UpstreamReport]] = {}
 
-    # What is learnt
+    # Updates
 
     def apply_configuration(self, text: Text) -> None:
-        """Put a text in force."""
+        """Apply a new configuration."""
         self.text = text
         self._follow_releases()
 
     def take_assignment(
         self, assignment: Assignment, revision: Revision
     ) -> None:
-        """Put an assignment in force; an older one changes nothing."""
+        """Apply an assignment; an older one is ignored."""
         if revision <= self.revision:
             return
         self.assignment = assignment
@@ -173,36 +175,45 @@
         return None if self.text is None else self.text.find_service(name)
 
     def note_member_report(
-        self, host: HostName, asked_at: float, said: MemberReport, now: float
+        self,
+        host: HostName,
+        asked_at: float,
+        member_report: MemberReport,
+        now: float,
     ) -> None:
-        """Take in the answer of a member to a question of ``asked_at``."""
+        """Record the answer of a member to a request sent at ``asked_at``."""
         self.authority.note_member(
-            host, asked_at, said.revision, said.counting
+            host, asked_at, member_report.revision, member_report.counting
         )
-        if said.store_unavailable:
-            self._away.add(host)
+        if member_report.store_unavailable:
+            self._hosts_without_store.add(host)
         else:
-            self._away.discard(host)
-        if said.store_age is not None:
-            # The question was sent before the answer was made, so this is
-            # never later than the read it tells of.
+            self._hosts_without_store.discard(host)
+        if member_report.store_age is not None:
+            # The request was sent before the answer was created, so this
+            # time is never later than the read itself.
             self.authority.note_store(
-                asked_at - said.store_age, said.store_revision
+                asked_at - member_report.store_age,
+                member_report.store_revision,
             )
         self.tracker.note_member(
-            now, host, said.revision, said.counting, self.assignment.members
+            now,
+            host,
+            member_report.revision,
+            member_report.counting,
+            self.assignment.members,
         )
 
     def note_joiner(self, host: HostName, member: Member, now: float) -> None:
-        """Take in that a keeper of this data centre has asked."""
+        """Record that a keeper of this data centre asks to join."""
         self._joiners[host] = (now, member)
 
     def note_report(self, report: UpstreamReport, now: float) -> None:
-        """Take in what a keeper says of its upstream."""
+        """Record a keeper's report about its upstream."""
         self._reports[report.upstream] = (now, report)
 
     def make_member_report(self, now: float) -> MemberReport:
-        """Return what this keeper says of its knowledge."""
+        """Return this keeper's statement about the state that it knows."""
         return MemberReport(
             self.revision,
             self.authority.counting,
@@ -211,10 +222,10 @@
             self.store_unavailable,
         )
 
-    # What may be done
+    # Decisions
 
     def renew(self, now: float) -> Authorization:
-        """Work out what may be acted on from now."""
+        """Return the current assignment and how long it may be acted on."""
         until = self.authority.renew_proof(
             now, self.revision, self.assignment.members
         )
@@ -227,12 +238,12 @@
         )
         return Authorization(self.assignment, until)
 
-    def is_warm(self, now: float) -> bool:
-        """Tell whether every living peer has had time to answer."""
+    def has_heard_peers(self, now: float) -> bool:
+        """Return whether every running peer has had time to answer."""
         return now - self._started_at >= self._timing.silence
 
     def list_alive(self, now: float) -> list[HostName]:
-        """Return members that answer, with this one, without leavers."""
+        """Return the live members, including this one, that do not leave."""
         alive = []
         for host, member in self.assignment.members.items():
             if host == self.host:
@@ -244,35 +255,38 @@
                 alive.append(host)
         return alive
 
-    def _list_connected(self, now: float) -> list[HostName]:
-        """Return living members, without those the store is away from.
+    def _list_with_store(self, now: float) -> list[HostName]:
+        """Return the live members that can reach the store.
 
-        When it is away from all, any may be the first to reach it again.
+        If none can, all live members are returned, as any of them may be
+        the first to reach it again.
         """
         alive = self.list_alive(now)
-        away = self._away | ({self.host} if self.store_unavailable else set())
-        return [host for host in alive if host not in away] or alive
+        without_store = self._hosts_without_store | (
+            {self.host} if self.store_unavailable else set()
+        )
+        return [host for host in alive if host not in without_store] or alive
 
     def list_links(self) -> set[LinkAddress]:
         """Return the link addresses of all members."""
         return {member.link for member in self.assignment.members.values()}
 
     def is_watching(self, now: float) -> bool:
-        """Tell whether this keeper watches the store for the others."""
+        """Return whether this keeper watches the store."""
         if self.host not in self.assignment.members or self.store_unavailable:
             return True
-        ranked = rank_candidates("watch", self._list_connected(now))
-        return self.host in ranked[:WATCHERS]
+        ranked = rank_candidates("watch", self._list_with_store(now))
+        return self.host in ranked[:WATCHER_COUNT]
 
     def find_assigner(self, now: float) -> HostName | None:
         """Return the member that changes the assignment."""
-        return choose_candidate("assigner", self._list_connected(now))
+        return choose_candidate("assigner", self._list_with_store(now))
 
     def list_kept(
         self, now: float
     ) -> dict[UpstreamName, tuple[Service, Upstream]]:
-        """Return the upstreams this keeper keeps."""
-        if self.text is None or self.leaving or not self.is_warm(now):
+        """Return the upstreams that this keeper is responsible for."""
+        if self.text is None or self.leaving or not self.has_heard_peers(now):
             return {}
         alive = self.list_alive(now)
         return {
@@ -286,10 +300,10 @@
     def outranks(
         self, orderer: str, upstream: UpstreamName, now: float
     ) -> bool:
-        """Tell whether another keeper comes before this one.
+        """Return whether another keeper takes precedence over this one.
 
-        Also one that seems lost does, until its grants have run out: it
-        may be alive and only out of this process's reach.
+        A keeper that seems lost retains its precedence until its grants
+        have expired, since it may be alive but unreachable from this host.
         """
         host = HostName(orderer.partition("/")[0])
         member = self.assignment.members.get(host)
@@ -301,22 +315,24 @@
         return choose_candidate(upstream, [host, self.host]) == host
 
     def plan(self, now: float, change_id: ChangeId) -> AssignmentChange | None:
-        """Return the change this keeper is to write now, if any."""
-        if not self.is_warm(now) or self.leaving:
+        """Return the change that this keeper has to write now, or None."""
+        if not self.has_heard_peers(now) or self.leaving:
             return None
         if self.revision and self.find_assigner(now) != self.host:
             return None
-        if not self.revision and not self._may_found(now):
+        if not self.revision and not self._may_create_record(now):
             return None
-        changed = plan_change(self.assignment, self._describe(now), change_id)
+        changed = plan_change(
+            self.assignment, self._make_planning_input(now), change_id
+        )
         return (
             None
             if changed is None
             else AssignmentChange(changed, self.revision)
         )
 
-    def _may_found(self, now: float) -> bool:
-        """Tell whether the data centre certainly has no record yet."""
+    def _may_create_record(self, now: float) -> bool:
+        """Return whether the data centre certainly has no record yet."""
         age = self.authority.store_age(now)
         return age is not None and not self.authority.store_revision()
 
@@ -325,23 +341,23 @@
             if now - at < _REPORT_LIFE:
                 yield report
 
-    def _describe(self, now: float) -> PlanningInput:
+    def _make_planning_input(self, now: float) -> PlanningInput:
         text = self.text or Text(self.data_centre, (), (), ())
         lost: dict[ShardKey, Epoch] = {}
         for report in self._list_reports(now):
             lost.update(report.lost)
-            self._confirm(report)
-        takers, active = self._list_takers(text, now)
+            self._record_confirmations(report)
+        eligible, active = self._list_takers(text, now)
         owners = {each.upstream for each in self.assignment.shards.values()}
         return PlanningInput(
-            wanted=self._list_wanted(text),
-            takers=takers,
+            wanted=self._list_required_shards(text),
+            eligible=eligible,
             evicted=owners - active,
             lost=lost,
             stopped=self.tracker.list_stopped(
                 now, self._timing.sum_takeover_wait
             ),
-            pins=_list_pins(text, takers),
+            pins=_list_pins(text, eligible),
             joiners=self._list_joiners(now),
             absent=self._list_absent(now),
             member_list_known=self.authority.is_known(
@@ -349,13 +365,15 @@
             ),
         )
 
-    def _confirm(self, report: UpstreamReport) -> None:
+    def _record_confirmations(self, report: UpstreamReport) -> None:
         for key, epoch in report.released.items():
             owner = self.assignment.find_owner(key)
             if owner is not None and owner.upstream == report.upstream:
                 self.tracker.confirm(key, epoch)
 
-    def _list_wanted(self, text: Text) -> dict[ServiceName, list[ShardKey]]:
+    def _list_required_shards(
+        self, text: Text
+    ) -> dict[ServiceName, list[ShardKey]]:
         return {
             ServiceName(service.name): [
                 ShardKey(ServiceName(service.name), shard)
@@ -370,7 +388,7 @@
     def _list_takers(
         self, text: Text, now: float
     ) -> tuple[dict[ServiceName, list[UpstreamName]], set[UpstreamName]]:
-        """Return upstreams to give shards to, and all that may keep some."""
+        """Return eligible upstreams by service, and all active ones."""
         lost = {
             report.upstream
             for report in self._list_reports(now)
@@ -385,11 +403,11 @@
             ]
             for service in text.services
         }
-        takers = {
+        eligible = {
             service: [name for name in names if name not in lost]
             for service, names in active.items()
         }
-        return takers, {name for names in active.values() for name in names}
+        return eligible, {name for names in active.values() for name in names}
 
     def _list_joiners(self, now: float) -> dict[HostName, Member]:
         joiners = {
--- a/sedgetide/core/ownership/__init__.py
+++ b/sedgetide/core/ownership/__init__.py
@@ -1,1 +1,1 @@
-"""Who owns which keys, who may order it, and how keys move."""
+"""Ownership of keys: leadership, grants, load balancing and moves."""
--- a/sedgetide/core/ownership/assignment.py
+++ b/sedgetide/core/ownership/assignment.py
@@ -1,7 +1,7 @@
 """The assignment of a data centre: shards, their owners and epochs.
 
-The aggregate is immutable; each command returns the next assignment, which
-is in force only once a compare-and-swap has put it into the store.
+Assignments are immutable. Each method that changes one returns the next
+version, which takes effect only after a compare-and-swap in the store.
 """
 
 from collections.abc import Mapping
@@ -38,10 +38,10 @@
 
 
 class Ownership(msgspec.Struct, frozen=True, array_like=True):
-    """Who owns a shard.
+    """Owner of a shard.
 
-    While RELEASING, ``upstream`` is the owner that has to stop and
-    ``epoch`` already is the fence of the next owner.
+    In state RELEASING, ``upstream`` is the previous owner, which has to
+    stop serving, and ``epoch`` is already the fencing token of the next one.
     """
 
     state: ShardState
@@ -50,29 +50,33 @@
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """Addresses of a keeper, as ``IP:port``."""
+    """Addresses of a keeper as ``IP:port``.
+
+    A keeper is the process on a host that grants shards to upstreams and
+    forwards requests to them.
+    """
 
     link: LinkAddress
     admin: str
 
 
 class Assignment(msgspec.Struct, frozen=True):
-    """Members of one data centre and all shards whose home it is.
+    """Members of one data centre and the shards that belong to it.
 
-    Invariants: an epoch never falls; a shard changes its owner only by way
-    of RELEASING; the member list changes by one host at a time; each
-    change carries its own change id.
+    Invariants: an epoch never decreases; a shard changes its owner only
+    through RELEASING; the member list changes by one host at a time; each
+    change has its own change id.
 
-    The member list lives in the same record as the shards, so that one
-    revision fences both: a host that counts votes by an older list is told
-    so by whoever knows the newer one.
+    The member list is stored in the same record as the shards, so that one
+    revision fences both: a host that counts a majority by an outdated list
+    learns this from any member that knows the newer revision.
 
     Parameters
     ----------
     change_id : ChangeId
-        Unique id of the change that made this version.
+        Unique id of the change that created this version.
     members : dict
-        Keepers whose word counts, by host.
+        Keepers that count towards a majority, by host.
     shards : dict
         Ownership by shard.
     """
@@ -86,7 +90,7 @@
         return self.shards.get(key)
 
     def list_owned(self, upstream: UpstreamName) -> dict[ShardKey, Epoch]:
-        """Return the shards that an upstream may serve, with epochs."""
+        """Return the shards that an upstream may serve and their epochs."""
         return {
             key: owner.epoch
             for key, owner in self.shards.items()
@@ -94,7 +98,7 @@
         }
 
     def list_releasing(self) -> dict[ShardKey, Ownership]:
-        """Return the shards that have no owner at present."""
+        """Return the shards that are being released."""
         return {
             key: owner
             for key, owner in self.shards.items()
@@ -104,25 +108,26 @@
     def add_member(
         self, host: HostName, member: Member, change_id: ChangeId
     ) -> "Assignment":
-        """Add one host to the member list, or change its addresses."""
+        """Add a host to the member list or change its addresses."""
         members = {**self.members, host: member}
         return Assignment(change_id, members, self.shards)
 
     def remove_member(
         self, host: HostName, change_id: ChangeId
     ) -> "Assignment":
-        """Take one host off the member list.
+        """Remove a host from the member list.
 
         Raises
         ------
         RuleError
-            When the host is unknown or the last one: an empty list could
-            never change again.
+            If the host is not a member or is the last one: an empty member
+            list could never be changed again.
         """
         if host not in self.members or len(self.members) == 1:
             raise RuleError(
                 Step.ASSIGN,
-                f"host {host} can not leave {sorted(self.members)}",
+                f"cannot remove host {host} from members "
+                f"{sorted(self.members)}",
             )
         members = {
             name: member
@@ -134,12 +139,12 @@
     def assign_first(
         self, owners: Mapping[ShardKey, UpstreamName], change_id: ChangeId
     ) -> "Assignment":
-        """Give shards that never had an owner their first one.
+        """Assign shards that have never had an owner.
 
         Raises
         ------
         RuleError
-            When a shard has an owner already.
+            If a shard already has an owner.
         """
         shards = dict(self.shards)
         for key, upstream in owners.items():
@@ -153,12 +158,12 @@
     def release(
         self, keys: list[ShardKey], change_id: ChangeId
     ) -> "Assignment":
-        """Begin to move shards away from their owners.
+        """Start releasing shards from their owners.
 
         Raises
         ------
         RuleError
-            When a shard is not OWNED.
+            If a shard is not in state OWNED.
         """
         shards = dict(self.shards)
         for key in keys:
@@ -178,20 +183,20 @@
         fences: Mapping[ShardKey, Epoch],
         change_id: ChangeId,
     ) -> "Assignment":
-        """Give released shards their next owners.
+        """Assign released shards to their next owners.
 
         Parameters
         ----------
         owners : mapping
             Next owner by shard.
         fences : mapping
-            Epoch at which the old owner is known to have stopped.
+            Epoch at which the previous owner is known to have stopped.
 
         Raises
         ------
         RuleError
-            When a shard is not RELEASING at the given fence: the proof that
-            the old owner stopped then belongs to an earlier move.
+            If a shard is not RELEASING at the given epoch: the proof that
+            the previous owner stopped then belongs to an earlier move.
         """
         shards = dict(self.shards)
         for key, upstream in owners.items():
--- a/sedgetide/core/ownership/authority.py
+++ b/sedgetide/core/ownership/authority.py
@@ -1,11 +1,12 @@
-"""Authority to act on an assignment: a fresh proof that none is newer.
-
-A renewal of a grant is harmless whoever sends it, as long as nobody has
-begun to move the shard. So a host needs no lease of its own; it needs a
-proof, younger than ``proof_life``, that no newer assignment exists. The
-proof comes from the store or from a majority of the data centre's members.
-Whoever moves a shard tells a majority and waits; two majorities share a
-member, so an old renewer either hears of the move or has no proof.
+"""Proof that the assignment held by a host is the newest one.
+
+Any host may safely renew a grant as long as no move of the shard has
+started. A host therefore needs no lease of its own, only a proof younger
+than ``proof_life`` that no newer assignment exists. The proof comes from the
+store or from a majority of the members of the data centre. Before a shard is
+moved, a majority is informed and a wait follows; as any two majorities share
+a member, a host with an outdated assignment either hears of the move or gets
+no proof.
 """
 
 from collections.abc import Collection
@@ -20,21 +21,22 @@
 
 
 def count_majority(size: int) -> int:
-    """Return how many members of a list of ``size`` make a majority."""
+    """Return the number of members that form a majority of ``size``."""
     return size // 2 + 1
 
 
 class Acknowledgement(msgspec.Struct, frozen=True):
-    """What a member said: it knows nothing newer than ``revision``.
+    """Statement of a member that it knows nothing newer than ``revision``.
 
     Parameters
     ----------
     asked_at : float
-        Own clock, read before the question was sent.
+        Local clock before the request was sent.
     revision : Revision
-        Newest assignment the member knows of.
+        Newest assignment that the member knows.
     counting : bool
-        Whether the member has learnt the newest revision since its start.
+        Whether the member has learnt the newest revision since its start
+        and so counts towards a majority.
     """
 
     asked_at: float
@@ -43,14 +45,14 @@
 
 
 class Authority:
-    """Proofs that one host holds for the assignment of its data centre.
+    """Proofs of one host that its assignment is the newest one.
 
     Parameters
     ----------
     host : HostName
-        The host itself.
+        The local host.
     proof_life : float
-        Seconds for which a proof counts.
+        Seconds for which a proof is valid.
     """
 
     def __init__(self, host: HostName, proof_life: float) -> None:
@@ -62,17 +64,18 @@
 
     @property
     def counting(self) -> bool:
-        """Whether this host's word counts towards a majority."""
+        """Whether this host counts towards a majority."""
         return self._counting
 
     def note_store(self, asked_at: float, revision: Revision) -> None:
-        """Take in a read of the record's revision from the store.
+        """Record a read of the assignment's revision from the store.
 
         Parameters
         ----------
         asked_at : float
-            Own clock before the read was sent; for a read relayed by
-            another host, before that host was asked, less the age it gave.
+            Local clock before the read was sent; for a read relayed by
+            another host, the time before that host was asked minus the age
+            that it reported.
         revision : Revision
             Revision that was read.
         """
@@ -86,14 +89,14 @@
         revision: Revision,
         counting: bool,
     ) -> None:
-        """Take in the answer of a member of the data centre."""
+        """Record the answer of a member of the data centre."""
         known = self._members.get(member)
         if known is not None and known.asked_at > asked_at:
             return
         self._members[member] = Acknowledgement(asked_at, revision, counting)
 
     def store_age(self, now: float) -> float | None:
-        """Return the age of the store's word, or None when too old."""
+        """Return the age of the last store read, or None if expired."""
         age = now - self._store.asked_at
         return age if age < self._proof_life else None
 
@@ -104,22 +107,22 @@
     def is_known(
         self, revision: Revision, members: Collection[HostName]
     ) -> bool:
-        """Tell whether a majority of members knows a revision.
+        """Return whether a majority of the members knows a revision.
 
-        The member list may change again only then: of two lists that are
-        two changes apart, majorities need not share a member.
+        Only then may the member list change again: majorities of two lists
+        that are two changes apart need not share a member.
         """
-        knowing = sum(
+        count = sum(
             1
-            for member, said in self._members.items()
+            for member, ack in self._members.items()
             if member in members
             and member != self._host
-            and said.counting
-            and said.revision >= revision
+            and ack.counting
+            and ack.revision >= revision
         )
         if self._counting and self._host in members:
-            knowing += 1
-        return knowing >= count_majority(len(members))
+            count += 1
+        return count >= count_majority(len(members))
 
     def renew_proof(
         self,
@@ -127,29 +130,29 @@
         held: Revision,
         members: Collection[HostName],
     ) -> float:
-        """Work out until when this host may act, and whether it counts.
+        """Update the proof and whether this host counts towards a majority.
 
         Parameters
         ----------
         now : float
-            Own clock.
+            Local clock.
         held : Revision
-            Newest assignment this host holds.
+            Newest assignment that this host holds.
         members : collection of HostName
             Member list of the data centre as kept in the store.
 
         Returns
         -------
         float
-            Own clock time up to which orders under ``held`` may be sent.
+            Local time until which orders under ``held`` may be sent.
 
         Notes
         -----
-        A host that restarted has forgotten what it was told. Until the
-        store or a majority made of others has spoken to it, it counts for
-        nobody, itself included. Without this, a member that forgot a
-        release could complete the majority of the very host that was to
-        be stopped, and two upstreams would answer for one shard.
+        A restarted host has lost what it knew. Until it has heard from the
+        store or from a majority made up of other members, it counts
+        towards no majority, not even its own. Otherwise a member that
+        forgot a release could complete the majority of the host that the
+        release was meant to stop, and two upstreams would serve one shard.
         """
         by_store = self._prove_by_store(held)
         by_members = self._prove_by_members(now, held, members)
@@ -166,18 +169,18 @@
     def _prove_by_members(
         self, now: float, held: Revision, members: Collection[HostName]
     ) -> float:
-        voices = [
-            said.asked_at
-            for member, said in self._members.items()
+        acknowledged_at = [
+            ack.asked_at
+            for member, ack in self._members.items()
             if member in members
             and member != self._host
-            and said.counting
-            and said.revision <= held
+            and ack.counting
+            and ack.revision <= held
         ]
         if self._counting and self._host in members:
-            voices.append(now)
+            acknowledged_at.append(now)
         needed = count_majority(len(members))
-        if len(voices) < needed:
+        if len(acknowledged_at) < needed:
             return NEVER
-        voices.sort(reverse=True)
-        return voices[needed - 1] + self._proof_life
+        acknowledged_at.sort(reverse=True)
+        return acknowledged_at[needed - 1] + self._proof_life
--- a/sedgetide/core/ownership/balance.py
+++ b/sedgetide/core/ownership/balance.py
@@ -1,4 +1,4 @@
-"""Which ranges should get another owner."""
+"""Planning of the moves that balance load between upstreams."""
 
 import bisect
 from collections.abc import Collection
@@ -17,49 +17,51 @@
 from sedgetide.core.ownership.ranges import RangeTable
 from sedgetide.core.ownership.ranges import Tenure
 
-_LEAST_BOUND = 8
-_MOVES_EACH = 0.4
-# An upstream that owns nothing takes half of what one busy upstream has in one
-# move, and half of the rest in the next.
-_MOVES_TO_FILL = 2
-# What one upstream is asked for in the memory of the load book varies by a
-# fifth by chance alone; less than this is no reason to move anything.
+_MIN_CONCURRENT_MOVES = 8
+_MOVES_PER_UPSTREAM = 0.4
+# An upstream without ranges takes half of the load of one busy upstream in its
+# first move and half of the remainder in its second.
+_MOVES_PER_EMPTY_UPSTREAM = 2
+# The load of an upstream as averaged by the load tracker varies by a fifth by
+# chance alone, so a smaller difference does not justify a move.
 _TOLERATED_DIFFERENCE = 0.25
-_BUSY = 0.55
-# Beyond it requests wait longer than they run.
-_FULL = 0.85
-_LEAST_SHARE = 0.25
-_RANGES_EACH = 24
-_RANGES_CROWDED = 7
-_NARROW = 512
-# Slots: 40 joined ranges are the work of one upstream.
-_NEGLIGIBLE = 0.05
+_BUSY_UTILIZATION = 0.55
+# Above this utilization requests wait longer than they run.
+_FULL_UTILIZATION = 0.85
+_MIN_SHARE_OF_WANTED = 0.25
+_MAX_RANGES_PER_UPSTREAM = 24
+_CONSOLIDATION_THRESHOLD = 7
+_NARROW_RANGE_KEYS = 512
+# In slots: 40 joined ranges amount to the work of one upstream.
+_NEGLIGIBLE_WORK = 0.05
 
 
 def max_concurrent_moves(eligible: int, empty: int = 0) -> int:
-    """Return how many ranges may be on their way at a time.
+    """Return the maximum number of ranges that may move at a time.
 
-    Each upstream gives or gets one in a round or two, however many there
-    are: a bound that did not grow with them would leave a large service
-    unbalanced for minutes. Those that own nothing are filled at once: they
-    come back together when a cut data centre does, and until then the
-    others are asked for more than they can do.
+    The limit grows with the number of upstreams, so that each one gives or
+    receives a range within one or two rounds; a fixed limit would leave a
+    large service unbalanced for minutes. Upstreams without ranges are
+    filled at once: they return together when a data centre that was cut off
+    does, and until then the other upstreams are overloaded.
 
     Parameters
     ----------
-    takers : int
+    eligible : int
         Number of upstreams that may own keys.
     empty : int
-        Number of those that own none and get none.
+        Number of those that neither own a range nor are to receive one.
     """
-    usual = max(_LEAST_BOUND, math.ceil(_MOVES_EACH * eligible))
-    return max(usual, _MOVES_TO_FILL * empty)
+    usual = max(
+        _MIN_CONCURRENT_MOVES, math.ceil(_MOVES_PER_UPSTREAM * eligible)
+    )
+    return max(usual, _MOVES_PER_EMPTY_UPSTREAM * empty)
 
 
 def count_empty(
     table: RangeTable, eligible: Collection[IncarnationName]
 ) -> int:
-    """Return how many takers neither own a range nor are to get one."""
+    """Return how many eligible upstreams have and are to get no range."""
     holders = {each.successor or each.owner for each in table.tenures}
     return sum(1 for name in eligible if name not in holders)
 
@@ -70,18 +72,19 @@
     rates: Mapping[Key, float],
     evacuated: Collection[IncarnationName] = (),
 ) -> list[Move]:
-    """Return moves of the ranges whose owner may not own any longer.
+    """Return moves of the ranges whose owners may no longer own keys.
 
     Parameters
     ----------
     table : RangeTable
-        Owners now.
-    takers : mapping
+        Current owners.
+    eligible : mapping
         Upstreams that may own keys.
     rates : mapping
-        Slots that each key keeps busy.
+        Average number of slots that each key occupies.
     evacuated : collection of IncarnationName
-        Owners whose ranges leave at a pace of their own.
+        Owners in evacuated data centres, whose ranges are moved gradually
+        by :func:`plan_evacuation` instead.
     """
     if not eligible:
         return []
@@ -91,14 +94,14 @@
         stays = tenure.owner in eligible or tenure.owner in evacuated
         if tenure.moving or stays:
             continue
-        goal = loads.find_idlest()
+        destination = loads.find_idlest()
         work = sum(
             rate
             for key, rate in rates.items()
             if tenure.low <= key <= tenure.high
         )
-        loads.shift(work, None, goal)
-        moves.append(Move(tenure.keys, goal))
+        loads.apply_move(work, None, destination)
+        moves.append(Move(tenure.keys, destination))
     return moves
 
 
@@ -106,27 +109,40 @@
     table: RangeTable,
     eligible: Mapping[IncarnationName, EligibleUpstream],
     rates: Mapping[Key, float],
-    most: int = _LEAST_BOUND,
+    max_moves: int = _MIN_CONCURRENT_MOVES,
 ) -> list[Move]:
-    """Return moves from the busiest upstreams to the idlest.
+    """Return moves from the busiest upstreams to the idlest ones.
 
-    Busy keys lie close together, so a range is cut out of the busiest
-    upstream's that holds about half of the difference. Narrow ranges are
-    cheap to move: what counts is the share of all keys.
+    Busy keys lie close together, so a move cuts out of the busiest upstream
+    a range that holds about half of the difference in load. Narrow ranges
+    are cheap to move, since the cost depends on the share of all keys.
+
+    Parameters
+    ----------
+    table : RangeTable
+        Current owners.
+    eligible : mapping
+        Upstreams that may own keys.
+    rates : mapping
+        Average number of slots that each key occupies.
+    max_moves : int
+        Maximum number of moves to return.
     """
     if len(eligible) < 2:
         return []
-    if len(table.tenures) > _RANGES_EACH * len(eligible):
+    if len(table.tenures) > _MAX_RANGES_PER_UPSTREAM * len(eligible):
         return []
     loads = ProjectedLoad(table.tenures, eligible, rates)
-    moves = plan_isolation(loads, most)
-    sources = set(eligible).difference(loads.crowded)
-    while sources and len(moves) < most:
-        source = max(sources, key=lambda name: (loads.find_busy(name), name))
-        goal = loads.find_idlest()
-        if not _is_worth_a_move(loads, source, goal):
+    moves = plan_isolation(loads, max_moves)
+    sources = set(eligible).difference(loads.hot_key_owners)
+    while sources and len(moves) < max_moves:
+        source = max(
+            sources, key=lambda name: (loads.find_utilization(name), name)
+        )
+        destination = loads.find_idlest()
+        if not _is_move_worthwhile(loads, source, destination):
             break
-        move = _plan_one(loads, source, goal)
+        move = _plan_move(loads, source, destination)
         if move is None:
             sources.remove(source)
         else:
@@ -134,76 +150,85 @@
     return moves
 
 
-def _is_worth_a_move(
-    loads: ProjectedLoad, source: IncarnationName, goal: IncarnationName
+def _is_move_worthwhile(
+    loads: ProjectedLoad, source: IncarnationName, destination: IncarnationName
 ) -> bool:
-    if loads.counts[goal] == 0:
+    if loads.counts[destination] == 0:
         return True
-    busy, idle = loads.find_busy(source), loads.find_busy(goal)
+    busy, idle = (
+        loads.find_utilization(source),
+        loads.find_utilization(destination),
+    )
     tolerated = max(_TOLERATED_DIFFERENCE, 0.25 * busy)
-    return busy >= _BUSY and busy - idle >= tolerated
+    return busy >= _BUSY_UTILIZATION and busy - idle >= tolerated
 
 
-def _plan_one(
-    loads: ProjectedLoad, source: IncarnationName, goal: IncarnationName
+def _plan_move(
+    loads: ProjectedLoad, source: IncarnationName, destination: IncarnationName
 ) -> Move | None:
-    gap = loads.find_busy(source) - loads.find_busy(goal)
-    found = _cut_range(loads, source, _find_wanted(loads, source, goal, gap))
+    gap = loads.find_utilization(source) - loads.find_utilization(destination)
+    found = _select_range(
+        loads, source, _find_work_to_move(loads, source, destination, gap)
+    )
     if found is None:
         return None
     keys, work = found
-    loads.shift(work, source, goal)
-    loads.cuts[source].append(keys)
-    return Move(keys, goal)
+    loads.apply_move(work, source, destination)
+    loads.planned_ranges[source].append(keys)
+    return Move(keys, destination)
 
 
-def _find_wanted(
+def _find_work_to_move(
     loads: ProjectedLoad,
     source: IncarnationName,
-    goal: IncarnationName,
+    destination: IncarnationName,
     gap: float,
 ) -> float:
-    """Return the work that makes both upstreams equally busy.
+    """Return the work to move so that both upstreams are equally utilized.
 
-    No more than the goal has room for: halves of what is far too much for
-    one upstream are too much for two, and what is on its way can not be cut
-    again before it has arrived. A run of keys that is the work of 40
-    upstreams was spread in five rounds of 0.8 s by halves; so it takes two.
+    The amount is limited to the free capacity of the destination. Half of
+    a load that is far too much for one upstream overloads the destination
+    too, and a moving range cannot be split until the move has completed. By
+    halves, a run of keys with the load of 40 upstreams took five rounds of
+    0.8 s to spread; with this limit it takes two.
     """
     costs = {
         name: loads.eligible[name].slowness / loads.eligible[name].slots
-        for name in (source, goal)
+        for name in (source, destination)
     }
     equal = gap / sum(costs.values())
-    room = (_FULL - loads.find_busy(goal)) / costs[goal]
+    room = (_FULL_UTILIZATION - loads.find_utilization(destination)) / costs[
+        destination
+    ]
     return min(equal, room) if room > 0 else equal
 
 
-def _cut_range(
+def _select_range(
     loads: ProjectedLoad, source: IncarnationName, wanted: float
 ) -> tuple[KeyRange, float] | None:
     best: tuple[KeyRange, float] | None = None
-    for keys, work in _list_windows(loads, source, wanted):
+    for keys, work in _list_candidate_ranges(loads, source, wanted):
         if best is None or work > best[1]:
             best = (keys, work)
-    if best is None or best[1] < _LEAST_SHARE * wanted:
+    if best is None or best[1] < _MIN_SHARE_OF_WANTED * wanted:
         return None
     return best
 
 
-def _list_windows(
+def _list_candidate_ranges(
     loads: ProjectedLoad, source: IncarnationName, wanted: float
 ) -> Iterator[tuple[KeyRange, float]]:
-    """Yield runs of busy keys that hold no more work than is wanted."""
+    """Yield ranges of the source that hold about the wanted work at most."""
     rates = loads.rates
-    taken = loads.cuts[source]
+    taken = loads.planned_ranges[source]
     for tenure, keys in loads.keys[source]:
         start = 0
         work = 0.0
         for end, key in enumerate(keys):
             work += rates[key]
             if any(each.low <= key <= each.high for each in taken):
-                # The range of an earlier move of this round lies between.
+                # An earlier move of this round takes this key: restart
+                # after it.
                 start, work = end + 1, 0.0
                 continue
             while work > wanted * 1.1 and start <= end:
@@ -212,11 +237,11 @@
             if start > end:
                 continue
             first, last = start == 0, end == len(keys) - 1
-            if first and last and len(tenure.keys) > _NARROW:
+            if first and last and len(tenure.keys) > _NARROW_RANGE_KEYS:
                 yield KeyRange(keys[start], key), work
                 continue
-            # Nothing is left over at an end of the range: the pieces, each
-            # renewed for itself, stay few.
+            # Extend to the end of the tenure so that no sliver is left:
+            # each range costs a renewal of its own.
             low = tenure.low if first else keys[start]
             high = tenure.high if last else key
             yield KeyRange(low, high), work
@@ -226,14 +251,25 @@
     table: RangeTable,
     eligible: Mapping[IncarnationName, EligibleUpstream],
     rates: Mapping[Key, float],
-    most: int,
+    max_moves: int,
 ) -> list[Move]:
     """Return moves of narrow idle ranges to the owner of a neighbour.
 
-    Yesterday's busy keys lie cut up among many owners. Joined again, they
-    cost fewer renewals and leave room to cut today's.
+    Keys that used to be busy remain split among many owners. Joining them
+    again saves renewals and leaves room to split ranges that are busy now.
+
+    Parameters
+    ----------
+    table : RangeTable
+        Current owners.
+    eligible : mapping
+        Upstreams that may own keys.
+    rates : mapping
+        Average number of slots that each key occupies.
+    max_moves : int
+        Maximum number of moves to return.
     """
-    if len(table.tenures) <= _RANGES_CROWDED * len(eligible):
+    if len(table.tenures) <= _CONSOLIDATION_THRESHOLD * len(eligible):
         return []
     busy = sorted(rates)
     moves: list[Move] = []
@@ -241,12 +277,12 @@
     for left, tenure in zip(table.tenures, table.tenures[1:], strict=False):
         settled = not left.moving and not tenure.moving and not last_moved
         foreign = tenure.owner != left.owner and left.owner in eligible
-        narrow = len(tenure.keys) <= _NARROW
-        idle = _sum_work(tenure, busy, rates) <= _NEGLIGIBLE
+        narrow = len(tenure.keys) <= _NARROW_RANGE_KEYS
+        idle = _sum_work(tenure, busy, rates) <= _NEGLIGIBLE_WORK
         last_moved = settled and foreign and narrow and idle
         if last_moved:
             moves.append(Move(tenure.keys, left.owner))
-        if len(moves) >= most:
+        if len(moves) >= max_moves:
             break
     return moves
 
--- a/sedgetide/core/ownership/evacuation.py
+++ b/sedgetide/core/ownership/evacuation.py
@@ -1,9 +1,9 @@
-"""Keys leave an evacuated data centre a part at a time.
+"""Gradual move of keys out of an evacuated data centre.
 
-Moved all at once, a third of a service's keys have no owner for as long as
-the requests that run take to end, and all that came for them meanwhile
-reaches the other upstreams in one moment. Moved one after the other, some
-are still there when the data centre has to be empty.
+If all ranges moved at once, a third of a service's keys would have no owner
+until the running requests have ended, and the requests queued meanwhile
+would reach the other upstreams in one burst. If they moved one by one, some
+would still be there when the data centre has to be empty.
 """
 
 from collections.abc import Collection
@@ -18,39 +18,40 @@
 from sedgetide.core.ownership.ranges import Move
 from sedgetide.core.ownership.ranges import RangeTable
 
-# Parts in which the ranges leave.
+# Number of rounds in which the ranges are moved.
 _ROUNDS = 4
-# Seconds; a release is answered within it in most cases. The leader looks ten
-# times a second, so all moves have begun 1.2 s after it knows of the wish.
-_ROUND = 0.35
+# Seconds; most releases are answered within this time. The leader checks ten
+# times a second, so all moves have started 1.2 s after it learns of the
+# evacuation.
+_ROUND_SECONDS = 0.35
 
 
 class EvacuationPacer:
-    """How many ranges may leave now."""
+    """Limits how many ranges start to move per round of an evacuation."""
 
     def __init__(self) -> None:
         self._rounds = _ROUNDS
         self._began_at = float("-inf")
 
     def allow(self, left: int, serving: bool, now: float) -> int:
-        """Return how many ranges may begin to move.
+        """Return how many ranges may start to move now.
 
         Parameters
         ----------
         left : int
-            Ranges that have to leave and do not move yet.
+            Number of ranges that have to move and are not moving yet.
         serving : bool
-            Whether their owners still get requests; if not, each moment
-            costs more than a queue elsewhere.
+            Whether their owners still receive requests. If not, the keys
+            are unavailable, which is worse than a burst at other upstreams.
         now : float
-            Own clock.
+            Local clock.
         """
         if left == 0:
             self._rounds = _ROUNDS
             return 0
         if not serving:
             return left
-        if now - self._began_at < _ROUND:
+        if now - self._began_at < _ROUND_SECONDS:
             return 0
         self._began_at = now
         allowed = math.ceil(left / self._rounds)
@@ -63,27 +64,27 @@
     eligible: Mapping[IncarnationName, EligibleUpstream],
     rates: Mapping[Key, float],
     owners: Collection[IncarnationName],
-    most: int,
+    max_moves: int,
 ) -> list[Move]:
     """Return moves of ranges out of an evacuated data centre.
 
-    The busiest ranges leave first: what comes last finds little room, and
-    should need little.
+    The busiest ranges move first, because the last ones find the least
+    free capacity.
 
     Parameters
     ----------
     table : RangeTable
-        Owners now.
-    takers : mapping
+        Current owners.
+    eligible : mapping
         Upstreams that may own keys.
     rates : mapping
-        Slots that each key keeps busy.
+        Average number of slots that each key occupies.
     owners : collection of IncarnationName
-        Upstreams that have to give up all they own.
-    most : int
-        Moves in this round.
+        Upstreams that have to give up all their ranges.
+    max_moves : int
+        Maximum number of moves in this round.
     """
-    if not eligible or most <= 0:
+    if not eligible or max_moves <= 0:
         return []
     groups = group_keys(rates, table.tenures)
     leaving = [
@@ -94,8 +95,8 @@
     leaving.sort(key=lambda each: (-each[0], each[1].low))
     loads = ProjectedLoad(table.tenures, eligible, rates)
     moves = []
-    for work, tenure in leaving[:most]:
-        goal = loads.find_idlest()
-        loads.shift(work, None, goal)
-        moves.append(Move(tenure.keys, goal))
+    for work, tenure in leaving[:max_moves]:
+        destination = loads.find_idlest()
+        loads.apply_move(work, None, destination)
+        moves.append(Move(tenure.keys, destination))
     return moves
--- a/sedgetide/core/ownership/grants.py
+++ b/sedgetide/core/ownership/grants.py
@@ -1,4 +1,7 @@
-"""Grants as their sender sees them: never longer than the upstream does."""
+"""Grants of shards as tracked by the keeper that sent them.
+
+The keeper never considers a grant valid for longer than the upstream does.
+"""
 
 from collections.abc import Mapping
 
@@ -9,18 +12,18 @@
 
 
 class Token(msgspec.Struct, frozen=True):
-    """A stamp an upstream issued and the bounds of its time of issue.
+    """A timestamp issued by an upstream, with bounds on its time of issue.
 
     Parameters
     ----------
     stamp : str
-        Opaque; the upstream finds its own clock in it.
+        Opaque text from which the upstream recovers its own clock.
     asked_at : float
-        Own clock before the call that brought the stamp was sent.
+        Local clock before the call that returned the stamp was sent.
     received_at : float
-        Own clock when the stamp came.
+        Local clock when the stamp was received.
     incarnation : str
-        Start of the upstream's process that issued it.
+        Incarnation of the upstream's process that issued the stamp.
     """
 
     stamp: str
@@ -30,18 +33,18 @@
 
 
 class GrantLedger:
-    """Grants that one keeper has given to one upstream.
+    """Grants that one keeper has sent to one upstream.
 
-    The upstream counts a grant's life from a token that it issued itself
-    and the grant echoes. An order that sat in a socket buffer therefore
-    does not lengthen a grant: the older the token, the less life is left.
+    The lifetime of a grant counts from the token that the upstream issued
+    and that the grant echoes. A grant that was delayed in a socket buffer
+    is therefore not extended: the older the token, the less time is left.
 
     Parameters
     ----------
     grant_life : float
-        Seconds of life the grants are given.
+        Lifetime of a grant in seconds.
     clock_error : float
-        Largest share by which the upstream's clock may run fast.
+        Largest relative rate by which the upstream's clock may run fast.
     """
 
     def __init__(self, grant_life: float, clock_error: float) -> None:
@@ -50,7 +53,7 @@
         self._held: dict[ShardKey, tuple[Epoch, float]] = {}
 
     def note_token(self, token: Token) -> bool:
-        """Take in a token; return True when the upstream restarted."""
+        """Record a token; return whether the upstream has restarted."""
         restarted = (
             self.token is not None
             and self.token.incarnation != token.incarnation
@@ -63,7 +66,7 @@
     def note_granted(
         self, token: Token, shards: Mapping[ShardKey, Epoch]
     ) -> None:
-        """Take in that the upstream accepted grants made with a token."""
+        """Record that the upstream accepted grants based on a token."""
         until = token.asked_at + self._life
         for key, epoch in shards.items():
             self._held[key] = (epoch, until)
@@ -73,12 +76,12 @@
         self._held.pop(key, None)
 
     def covers(self, key: ShardKey, epoch: Epoch, now: float) -> bool:
-        """Tell whether the upstream certainly holds a grant."""
+        """Return whether the upstream certainly holds a valid grant."""
         held = self._held.get(key)
         return held is not None and held[0] == epoch and now < held[1]
 
     def list_held(self, now: float) -> dict[ShardKey, Epoch]:
-        """Return the shards whose grants are alive, with epochs."""
+        """Return the shards with valid grants and their epochs."""
         return {
             key: epoch
             for key, (epoch, until) in self._held.items()
--- a/sedgetide/core/ownership/handover.py
+++ b/sedgetide/core/ownership/handover.py
@@ -1,4 +1,4 @@
-"""Proof that an old owner has stopped, for shards being released."""
+"""Proof that the previous owners of released shards have stopped serving."""
 
 from collections.abc import Callable
 from collections.abc import Collection
@@ -14,8 +14,12 @@
 from sedgetide.core.ownership.authority import count_majority
 
 
-class _Wait(msgspec.Struct):
-    """One revision a majority has to know before the clock starts."""
+class _MajorityWait(msgspec.Struct):
+    """Releases of one revision, waiting until a majority knows it.
+
+    The takeover wait starts at ``known_at``, when a majority of the members
+    is known to have learnt the revision.
+    """
 
     revision: Revision
     epochs: dict[ShardKey, Epoch]
@@ -25,23 +29,23 @@
 
 
 class ReleaseTracker:
-    """Finds out when released shards may be given to another upstream.
+    """Determines when released shards may be assigned to another upstream.
 
-    Two ways prove that the old owner stopped: it confirmed the release at
-    the fence, or a majority of members has known of the release for longer
-    than any proof of authority and any grant can live. The tracker keeps
-    nothing across a restart: a successor begins the wait anew.
+    The previous owner has stopped if it confirmed the release at its epoch,
+    or if a majority of the members has known of the release for longer than
+    any proof of authority and any grant is valid. The state is not
+    persistent: after a restart or on another host the wait starts again.
 
     Parameters
     ----------
     host : HostName
-        The host itself, which knows what it holds.
+        The local host.
     """
 
     def __init__(self, host: HostName) -> None:
         self._host = host
-        self._waits: list[_Wait] = []
-        self._covered: dict[ShardKey, Epoch] = {}
+        self._waits: list[_MajorityWait] = []
+        self._tracked: dict[ShardKey, Epoch] = {}
         self._confirmed: dict[ShardKey, Epoch] = {}
 
     def follow(
@@ -50,17 +54,17 @@
         assignment: Assignment,
         longest_requests: Mapping[ShardKey, float],
     ) -> None:
-        """Take in the newest assignment.
+        """Start tracking the releases of the newest assignment.
 
         Parameters
         ----------
         revision : Revision
             Revision of the assignment in the store.
         assignment : Assignment
-            Newest version this host holds.
+            Newest version that this host holds.
         longest_requests : mapping
-            Longest request deadline for shards of upstreams that do not
-            check orders; zero for the others.
+            Longest request deadline by shard, for shards of upstreams that
+            do not reject stale orders; zero for shards that are missing.
         """
         releasing = {
             key: owner.epoch
@@ -70,16 +74,16 @@
         fresh = {
             key: epoch
             for key, epoch in releasing.items()
-            if self._covered.get(key) != epoch
+            if self._tracked.get(key) != epoch
         }
         if not fresh:
             return
-        self._covered.update(fresh)
+        self._tracked.update(fresh)
         longest = max(longest_requests.get(key, 0.0) for key in fresh)
-        self._waits.append(_Wait(revision, fresh, longest))
+        self._waits.append(_MajorityWait(revision, fresh, longest))
 
     def _forget_ended(self, releasing: Mapping[ShardKey, Epoch]) -> None:
-        for record in (self._covered, self._confirmed):
+        for record in (self._tracked, self._confirmed):
             for key in list(record):
                 if releasing.get(key) != record[key]:
                     del record[key]
@@ -97,10 +101,11 @@
         counting: bool,
         members: Collection[HostName],
     ) -> None:
-        """Take in that a member knows of a revision.
+        """Record that a member knows a revision.
 
-        Only a counting member is noted: one that has just restarted may
-        forget again what it has not yet been able to compare.
+        Members that do not count towards a majority are ignored: a member
+        that has just restarted has not yet learnt the newest revision and
+        could lose this one again.
         """
         if not counting or member not in members:
             return
@@ -115,35 +120,35 @@
                 wait.known_at = now
 
     def confirm(self, key: ShardKey, epoch: Epoch) -> None:
-        """Take in that the old owner itself gave the shard up."""
+        """Record that the previous owner confirmed the release."""
         self._confirmed[key] = epoch
 
     def list_stopped(
-        self, now: float, wait_of: Callable[[float], float]
+        self, now: float, takeover_wait: Callable[[float], float]
     ) -> dict[ShardKey, Epoch]:
-        """Return shards whose old owner has stopped, with their fences.
+        """Return shards whose previous owner has stopped, with their epochs.
 
         Parameters
         ----------
         now : float
-            Own clock.
-        wait_of : callable
-            Gives the wait in seconds for a longest request deadline; see
-            :meth:`Timing.sum_takeover_wait`.
+            Local clock.
+        takeover_wait : callable
+            Returns the seconds to wait for a given longest request
+            deadline; see :meth:`Timing.sum_takeover_wait`.
         """
         stopped = {
             key: epoch
             for key, epoch in self._confirmed.items()
-            if self._covered.get(key) == epoch
+            if self._tracked.get(key) == epoch
         }
         for wait in self._waits:
             if wait.known_at is None:
                 continue
-            if now >= wait.known_at + wait_of(wait.longest_request):
+            if now >= wait.known_at + takeover_wait(wait.longest_request):
                 stopped.update(wait.epochs)
         return stopped
 
     @property
     def waiting(self) -> bool:
-        """Whether any shard is being released."""
+        """Whether releases are being tracked."""
         return bool(self._waits)
--- a/sedgetide/core/ownership/holds.py
+++ b/sedgetide/core/ownership/holds.py
@@ -1,4 +1,4 @@
-"""Until when each upstream may hold what it was granted."""
+"""Upper bounds on how long each upstream may hold the keys granted to it."""
 
 import msgspec
 
@@ -7,14 +7,15 @@
 
 
 class Hold(msgspec.Struct):
-    """Keys that an upstream may hold because of one grant.
+    """Keys that an upstream may hold as the result of one grant.
 
     Parameters
     ----------
     keys : KeyRange
-        What was granted.
+        Granted keys.
     until : float
-        When it certainly is over, however late the grant arrived.
+        Local time after which the grant has certainly expired, however late
+        it arrived.
     """
 
     keys: KeyRange
@@ -22,16 +23,16 @@
 
 
 class HoldLedger:
-    """Latest end of every grant that this leader sent or inherited.
+    """Latest expiry of every grant sent by this leader or by earlier ones.
 
-    A grant that got no answer counts like one that did: it may have been
-    taken, or may still be. Only a release that was answered ends a hold
-    early.
+    A grant without an answer counts like an answered one, since the
+    upstream may have accepted it or may still do so. Only an answered
+    release ends a hold early.
 
     Parameters
     ----------
     inherited_until : float
-        Until when orders of earlier leaders may hold.
+        Local time until which grants of earlier leaders may be held.
     """
 
     def __init__(self, inherited_until: float) -> None:
@@ -42,18 +43,18 @@
     def note_grant(
         self, upstream: IncarnationName, keys: KeyRange, until: float
     ) -> Hold:
-        """Take in, before it is sent, that keys are granted.
+        """Record a grant before it is sent.
 
         Parameters
         ----------
         until : float
-            End of the hold if the grant arrives at the last moment.
+            End of the hold if the grant arrives as late as possible.
 
         Returns
         -------
         Hold
-            Its end may be set closer once the grant has certainly arrived
-            or never will.
+            Its end may be reduced once the grant has arrived or can no
+            longer arrive.
         """
         hold = Hold(keys, until)
         self._holds.setdefault(upstream, []).append(hold)
@@ -65,7 +66,7 @@
         return hold
 
     def note_release(self, upstream: IncarnationName, keys: KeyRange) -> None:
-        """Take in that an upstream answered the release of keys."""
+        """Record that an upstream answered the release of keys."""
         self._holds[upstream] = [
             hold
             for hold in self._holds.get(upstream, [])
@@ -79,12 +80,12 @@
         keys: KeyRange,
         inherited_until: float = float("inf"),
     ) -> float:
-        """Return when an upstream certainly holds none of some keys.
+        """Return the time after which an upstream holds none of the keys.
 
         Parameters
         ----------
         inherited_until : float
-            Closer bound of what earlier leaders gave of these keys, if one
+            Tighter bound on grants of these keys by earlier leaders, if one
             is known.
         """
         for released in self._released.get(upstream, []):
@@ -98,7 +99,7 @@
         return max([min(self._inherited_until, inherited_until), *ends])
 
     def prune(self, now: float) -> None:
-        """Forget what has ended."""
+        """Remove holds that have ended."""
         for upstream, holds in list(self._holds.items()):
             kept = [hold for hold in holds if hold.until > now]
             self._holds[upstream] = kept
--- a/sedgetide/core/ownership/isolation.py
+++ b/sedgetide/core/ownership/isolation.py
@@ -1,9 +1,9 @@
-"""Keys that are more than one upstream's work.
+"""Isolation of hot keys, which need more capacity than one upstream has.
 
-Nothing can share out a single key. What can be done: its upstream keeps
-nothing else, so that other keys' callers do not wait behind it, and it is
-one of the fastest, so that as many of its own callers as possible are
-served.
+A single key cannot be split among upstreams. Instead, its upstream is
+relieved of all other keys, so that their requests do not queue behind it, and
+the key is placed on one of the fastest upstreams, so that as many of its own
+requests as possible are served.
 """
 
 from collections.abc import Iterator
@@ -17,12 +17,13 @@
 from sedgetide.core.ownership.ranges import Move
 from sedgetide.core.ownership.ranges import Tenure
 
-_MORE_THAN_ENOUGH = 0.9
-# Where all upstreams are as busy, none can take what another has besides.
-_FAR_ABOVE_MEAN = 1.5
-# A faster upstream has to be worth two moves and what its keys feel of them.
-_MUCH_FASTER = 0.65
-_MOST_SHARE = 8
+_HOT_KEY_UTILIZATION = 0.9
+# If all upstreams are equally busy, none can take over the other keys.
+_HOT_KEY_MEAN_FACTOR = 1.5
+# A faster upstream must make up for two moves and for the interruption of its
+# own keys.
+_FASTER_TIME_RATIO = 0.65
+_UPSTREAMS_PER_HOT_KEY = 8
 
 
 class _HotKey(msgspec.Struct, frozen=True):
@@ -32,47 +33,50 @@
     work: float
 
 
-def plan_isolation(loads: ProjectedLoad, most: int) -> list[Move]:
-    """Return moves that leave hot keys alone at fast upstreams.
+def plan_isolation(loads: ProjectedLoad, max_moves: int) -> list[Move]:
+    """Return moves that isolate hot keys on fast upstreams.
 
     Parameters
     ----------
     loads : ProjectedLoad
-        How busy all are; takes in what is planned.
-    most : int
-        Largest number of moves.
+        Utilization of all upstreams; updated with the planned moves.
+    max_moves : int
+        Maximum number of moves.
     """
     moves: list[Move] = []
     for hot in _list_hot_keys(loads):
-        loads.crowded.add(hot.owner)
-        faster = _find_faster(loads, hot.owner)
+        loads.hot_key_owners.add(hot.owner)
+        faster = _find_faster_upstream(loads, hot.owner)
         if faster is not None:
-            loads.crowded.add(faster)
+            loads.hot_key_owners.add(faster)
             moves.append(Move(KeyRange(hot.key, hot.key), faster))
-            loads.shift(hot.work, hot.owner, faster)
+            loads.apply_move(hot.work, hot.owner, faster)
             continue
-        for keys, work in _list_others(loads, hot):
-            goal = loads.find_idlest()
-            if goal in loads.crowded:
+        for keys, work in _list_other_ranges(loads, hot):
+            destination = loads.find_idlest()
+            if destination in loads.hot_key_owners:
                 break
-            moves.append(Move(keys, goal))
-            loads.shift(work, hot.owner, goal)
-    return moves[: max(0, most)]
+            moves.append(Move(keys, destination))
+            loads.apply_move(work, hot.owner, destination)
+    return moves[: max(0, max_moves)]
 
 
 def _list_hot_keys(loads: ProjectedLoad) -> list[_HotKey]:
-    """Return the hottest keys, of a few upstreams at most."""
+    """Return the hottest keys, one per upstream, of a few upstreams."""
     found = []
-    least = max(_MORE_THAN_ENOUGH, _FAR_ABOVE_MEAN * loads.find_mean())
+    least = max(
+        _HOT_KEY_UTILIZATION,
+        _HOT_KEY_MEAN_FACTOR * loads.find_mean_utilization(),
+    )
     for name, ranges in loads.keys.items():
         for tenure, keys in ranges:
             for key in keys:
                 work = loads.rates[key]
-                if _find_busy(loads, name, work) >= least:
+                if _find_utilization(loads, name, work) >= least:
                     found.append(_HotKey(key, name, tenure, work))
     found.sort(key=lambda hot: (-hot.work, hot.key))
     owners: set[IncarnationName] = set()
-    bound = len(loads.eligible) // _MOST_SHARE
+    bound = len(loads.eligible) // _UPSTREAMS_PER_HOT_KEY
     hottest = []
     for hot in found:
         if hot.owner not in owners and len(owners) < bound:
@@ -81,31 +85,33 @@
     return hottest
 
 
-def _find_busy(
+def _find_utilization(
     loads: ProjectedLoad, name: IncarnationName, work: float
 ) -> float:
-    taker = loads.eligible[name]
-    return work * taker.slowness / taker.slots
+    candidate = loads.eligible[name]
+    return work * candidate.slowness / candidate.slots
 
 
-def _find_faster(
+def _find_faster_upstream(
     loads: ProjectedLoad, owner: IncarnationName
 ) -> IncarnationName | None:
-    """Return an upstream that gets much more done than the owner."""
-    own = _find_busy(loads, owner, 1.0)
-    others = loads.eligible.keys() - loads.crowded
+    """Return an upstream that is much faster than the owner, or None."""
+    own = _find_utilization(loads, owner, 1.0)
+    others = loads.eligible.keys() - loads.hot_key_owners
     if not others:
         return None
-    best = min(others, key=lambda name: (_find_busy(loads, name, 1.0), name))
-    if _find_busy(loads, best, 1.0) > _MUCH_FASTER * own:
+    best = min(
+        others, key=lambda name: (_find_utilization(loads, name, 1.0), name)
+    )
+    if _find_utilization(loads, best, 1.0) > _FASTER_TIME_RATIO * own:
         return None
     return best
 
 
-def _list_others(
+def _list_other_ranges(
     loads: ProjectedLoad, hot: _HotKey
 ) -> Iterator[tuple[KeyRange, float]]:
-    """Yield all that the owner has besides its hot key, with its work."""
+    """Yield the owner's ranges without the hot key, with their work."""
     for tenure, keys in loads.keys[hot.owner]:
         if tenure != hot.tenure:
             yield tenure.keys, sum(loads.rates[key] for key in keys)
--- a/sedgetide/core/ownership/keyspace.py
+++ b/sedgetide/core/ownership/keyspace.py
@@ -1,4 +1,4 @@
-"""Division of keys into shards and of shards among data centres."""
+"""Mapping of keys to shards and of shards to data centres."""
 
 from collections.abc import Sequence
 
@@ -14,14 +14,14 @@
     Parameters
     ----------
     key : str
-        Key as it stands in the route, decoded.
+        Decoded key from the route.
     shard_count : int
-        Number of shards of the service, fixed for its life.
+        Number of shards of the service, fixed for its lifetime.
 
     Returns
     -------
     Shard
-        From 0 to ``shard_count - 1``.
+        Number from 0 to ``shard_count - 1``.
     """
     return Shard(xxhash.xxh3_64_intdigest(key.encode()) % shard_count)
 
@@ -29,8 +29,8 @@
 def find_home(shard: Shard, homes: Sequence[DataCentre]) -> DataCentre:
     """Return the data centre whose upstreams may own a shard.
 
-    The list is fixed for the life of the service, so that a shard can not
-    have two homes during the spread of a new text.
+    The list is fixed for the lifetime of the service, so that a shard cannot
+    belong to two data centres while a new configuration propagates.
     """
     return homes[shard % len(homes)]
 
@@ -38,7 +38,7 @@
 def list_shards(
     data_centre: DataCentre, homes: Sequence[DataCentre], shard_count: int
 ) -> list[Shard]:
-    """Return the shards whose home is a data centre, in rising order."""
+    """Return the shards that belong to a data centre in ascending order."""
     return [
         Shard(number)
         for number in range(shard_count)
--- a/sedgetide/core/ownership/leadership.py
+++ b/sedgetide/core/ownership/leadership.py
@@ -1,12 +1,13 @@
-"""Which host orders grants, and until when it may.
-
-The record of the leader lies in the store under a lease. The lease alone
-proves nothing to its holder: the store may take the record away early and
-still renew the lease. What proves it is a read, sent after the record was
-written, that finds the holder's own position; it counts for ``proof_life``
-from before it was sent. A successor therefore waits ``proof_life`` before
-it takes its predecessor's last order for sent. A store that comes back from
-a copy proves nothing about the era before any more.
+"""Leadership of a host and the time for which it may send orders.
+
+The leader's record is kept in the store under a lease. The lease alone does
+not prove leadership: the store may remove the record early and still renew
+the lease. The proof is a read, sent after the record was written, that finds
+the record at the position of the leader's own write. It is valid for
+``proof_life``, counted from before the read was sent, so a successor has to
+assume that its predecessor sent orders for another ``proof_life``. After the
+store has been restored from a backup, reads no longer prove anything about
+the previous era.
 """
 
 import msgspec
@@ -18,39 +19,40 @@
 from sedgetide.core.identifiers import LinkAddress
 
 NEVER = float("-inf")
-_RENEWALS_IN_A_HOLD = 3
-_MISSED = 2
-_AMPLE_PROCESSORS = 1.0
-_LONGEST_YIELD = 0.6
+_RENEWALS_PER_HOLD = 3
+_FRESH_VERIFY_INTERVALS = 2
+_SUFFICIENT_CORES = 1.0
+_MAX_ELECTION_DELAY = 0.6
 
 
 def find_election_delay(processors: float) -> float:
-    """Return for how many seconds a host lets stronger ones stand first.
+    """Return by how many seconds a host delays its candidacy for leader.
 
-    The leader renews every grant and feeds every host. On a weak host of a
-    large deployment that takes all there is, and grants run out while they
-    wait for their turn.
+    Hosts with less than one core of processor time let stronger hosts go
+    first. The leader renews every grant and sends updates to every host;
+    in a large deployment this can saturate a weak host, and grants expire
+    while their renewals are queued.
 
     Parameters
     ----------
     processors : float
-        Cores' worth of time that the host has.
+        Processor time available to the host, in cores.
     """
-    lacking = max(0.0, _AMPLE_PROCESSORS - processors)
-    return _LONGEST_YIELD * lacking / _AMPLE_PROCESSORS
+    lacking = max(0.0, _SUFFICIENT_CORES - processors)
+    return _MAX_ELECTION_DELAY * lacking / _SUFFICIENT_CORES
 
 
 class LeaderRecord(msgspec.Struct, frozen=True):
-    """What the leader writes of itself.
+    """The leader's record in the store.
 
     Parameters
     ----------
     host : HostName
-        Its host.
+        Host of the leader.
     incarnation : str
-        Start of its process.
+        Incarnation of its process.
     link : LinkAddress
-        Where it takes load reports.
+        Address to which hosts send load reports.
     """
 
     host: HostName
@@ -59,29 +61,29 @@
 
 
 class Durations(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Seconds on which single ownership of ranges rests.
+    """Durations in seconds that guarantee a single owner of each range.
 
     Parameters
     ----------
     lease : float
-        Life of the leader's lease in the store.
+        Lifetime of the leader's lease in the store.
     proof_life : float
-        Age up to which a read of the leader's record counts.
+        Maximum age of a read of the leader's record that proves leadership.
     verify : float
-        Interval of those reads.
+        Interval of these reads.
     hold : float
-        Life of a grant in ordinary times.
+        Lifetime of a grant while the store answers.
     long_hold : float
-        Life of a grant given while the store does not answer.
+        Lifetime of a grant sent while the store does not answer.
     renew : float
-        Interval of renewals of grants.
+        Interval at which grants are renewed.
     clock_error : float
-        Largest share by which an upstream's clock may run slow.
+        Largest relative rate by which an upstream's clock may run slow.
     margin : float
-        Added to each wait for timer granularity.
+        Added to each wait to allow for timer granularity.
     order_timeout : float
-        Longest time between the send of a grant and its arrival; after it
-        the connection has been reset and the grant taken back.
+        Longest time between sending a grant and its arrival. After this
+        time the connection has been reset and the grant withdrawn.
     """
 
     lease: float = 2.0
@@ -95,82 +97,88 @@
     order_timeout: float = 0.6
 
     def cap_holds(self, longest_hold: float) -> "Durations":
-        """Return these durations with no hold over what upstreams accept."""
+        """Return a copy with holds limited to what upstreams accept."""
         return msgspec.structs.replace(
             self,
             hold=min(self.hold, longest_hold),
             long_hold=min(self.long_hold, longest_hold),
-            renew=min(self.renew, longest_hold / _RENEWALS_IN_A_HOLD),
+            renew=min(self.renew, longest_hold / _RENEWALS_PER_HOLD),
         )
 
     def bound_hold(self, hold: float) -> float:
-        """Return how long after its send a grant may still be held."""
+        """Return how long a grant may still be held after it was sent."""
         return hold * (1.0 + self.clock_error) + self.margin
 
     def max_inherited_hold(self) -> float:
-        """Return how long a grant may be held that a lost leader gave.
+        """Return how long a grant of a previous leader may still be held.
 
-        Counted from a moment at which it may still have held its record.
+        The time counts from a moment at which that leader may still have
+        held its record.
         """
         last = self.proof_life + self.order_timeout
         return last + self.bound_hold(self.long_hold)
 
 
 class Leadership:
-    """Whether this host leads, and until when it may give orders.
+    """Whether this host is the leader, and until when it may send orders.
+
+    An order is a grant or a release that the leader sends to an upstream.
+    A term is the period in which one leader's record stands in the store,
+    identified by the position of its write.
 
     Parameters
     ----------
     durations : Durations
-        Shared by all hosts.
+        Durations shared by all hosts.
     """
 
     def __init__(self, durations: Durations) -> None:
         self._durations = durations
         self._term = NO_POSITION
         self._proved_at = NEVER
-        self._took_over_at = NEVER
-        self._outlived = False
+        self._term_began_at = NEVER
+        self._era_ended = False
 
     @property
     def era_ended(self) -> bool:
-        """Whether the own record is of an era of the store that is over.
+        """Whether this host's record belongs to a past era of the store.
 
-        There is no further proof. As long as the last one counts, grants
-        are renewed: a leader of the new era takes them back first.
+        No further proof can be obtained. Grants are renewed while the last
+        proof is valid, as a leader of the new era waits for them to be
+        released or to expire.
         """
-        return self._outlived
+        return self._era_ended
 
     def note_era(self, era: Era) -> None:
-        """Take in that an era of the store has begun."""
+        """Record that a new era of the store has begun."""
         if self._term != NO_POSITION and self._term.era < era:
-            self._outlived = True
+            self._era_ended = True
 
     @property
     def term(self) -> Position:
-        """Position of the own record; zero when this host does not lead."""
+        """Position of this host's leader record; zero if it does not lead."""
         return self._term
 
     def begin(self, position: Position, asked_at: float, now: float) -> None:
-        """Take in that the own record was written.
+        """Begin a term after this host's leader record was written.
 
         Parameters
         ----------
         position : Position
-            Of the record.
+            Position of the record.
         asked_at : float
-            Own clock before the write was sent.
+            Local clock before the write was sent.
         now : float
-            Own clock.
+            Local clock.
         """
         self._term = position
-        self._outlived = False
+        self._era_ended = False
         self._proved_at = asked_at
-        self._took_over_at = now
+        self._term_began_at = now
 
     def note_read(self, position: Position, asked_at: float) -> bool:
-        """Take in a read of the record; return whether it is the own."""
-        if self._term == NO_POSITION or self._outlived:
+        """Record a read of the leader record; return whether it is ours."""
+        if self._term == NO_POSITION or self._era_ended:
             return False
         if position != self._term:
             self.end()
@@ -179,16 +187,17 @@
         return True
 
     def end(self) -> None:
-        """Give no more orders."""
+        """End the term; no more orders may be sent."""
         self._term = NO_POSITION
-        self._outlived = False
+        self._era_ended = False
         self._proved_at = NEVER
 
     def may_order(self, now: float) -> bool:
-        """Tell whether an order may be sent at this very moment.
+        """Return whether an order may be sent right now.
 
-        A process may stand still between any two steps; only a look at a
-        clock that runs on meanwhile shows that the proof still counts.
+        Check this immediately before sending: the process may be suspended
+        at any point, and only a clock that keeps running meanwhile shows
+        whether the proof is still valid.
         """
         return (
             self._term != NO_POSITION
@@ -196,37 +205,37 @@
         )
 
     def is_certainly_lost(self, now: float) -> bool:
-        """Tell whether the record is certainly gone, though nobody said so.
+        """Return whether the record must be gone even without notice.
 
-        A host that the store turns away hears neither that its lease has
-        ended nor who leads now. Believing itself the leader, it would take
-        no news from the one that is.
+        A host that is refused by the store learns neither that its lease
+        has expired nor who the new leader is. If it still considered itself
+        the leader, it would accept no updates from the actual one.
         """
         gone = self._durations.proof_life + self._durations.lease
         return self._term != NO_POSITION and now >= self._proved_at + gone
 
     def choose_hold(self, now: float) -> float:
-        """Return the life of a grant that is given now.
+        """Return the lifetime of a grant that is sent now.
 
-        Long ones bridge an outage of the store, short ones keep the keys
-        of a lost upstream dark for less time.
+        Long holds bridge an outage of the store; short ones limit the time
+        for which the keys of a lost upstream are unavailable.
         """
         if self.is_fresh(now):
             return self._durations.hold
         return self._durations.long_hold
 
     def is_fresh(self, now: float) -> bool:
-        """Tell whether the last proof came when it was due.
+        """Return whether the last proof is recent.
 
-        A leader that misses one may be the only host that the store turns
-        away. It may order a while longer, but what it knows of the store is
-        no longer good enough for others to do without their own.
+        A leader whose proof is overdue may be the only host that the store
+        refuses. It may still send orders for a while, but other hosts must
+        no longer rely on its view of the store instead of their own reads.
         """
-        if self._outlived:
+        if self._era_ended:
             return False
-        due = _MISSED * self._durations.verify
+        due = _FRESH_VERIFY_INTERVALS * self._durations.verify
         return self._term != NO_POSITION and now - self._proved_at < due
 
     def bound_inherited(self) -> float:
-        """Return until when orders of earlier leaders may hold."""
-        return self._took_over_at + self._durations.max_inherited_hold()
+        """Return the time until which earlier leaders' grants may be held."""
+        return self._term_began_at + self._durations.max_inherited_hold()
--- a/sedgetide/core/ownership/leasing.py
+++ b/sedgetide/core/ownership/leasing.py
@@ -1,7 +1,8 @@
-"""One keeper's authorization towards one upstream: orders, grants, requests.
+"""State of one keeper's authority over one upstream.
 
-The task that owns the connections asks :meth:`UpstreamLease.next_call` what
-to send, sends it, and gives the answer back. Nothing here does I/O.
+The task that owns the connections obtains the next control call from
+:meth:`UpstreamLease.next_call`, sends it, and passes the answer back. This
+module does no I/O.
 """
 
 from collections.abc import Callable
@@ -22,11 +23,11 @@
 from sedgetide.core.timing import Timing
 
 NEVER = float("-inf")
-ALWAYS = float("inf")
+NO_DEADLINE = float("inf")
 
 
 class ControlCallKind(enum.Enum):
-    """What a keeper asks of an upstream."""
+    """Type of a control call to an upstream."""
 
     STATUS = "status"
     GRANT = "grant"
@@ -34,35 +35,38 @@
 
 
 class ControlCall(msgspec.Struct, frozen=True):
-    """A control call to be made.
+    """A control call to be sent to an upstream.
+
+    Grant and release calls are orders, which the upstream obeys; a status
+    call only queries it.
 
     Parameters
     ----------
     kind : ControlCallKind
-        What to ask.
+        Type of the call.
     token : Token or None
-        Stamp to give back; None for a status call.
+        Stamp to echo; None for a status call.
     shards : dict
-        Shards the order is about.
+        Shards that the order applies to, with their epochs.
     not_after : float
-        Own clock time after which it may not be sent.
+        Local time after which the call must not be sent.
     """
 
     kind: ControlCallKind
     token: Token | None = None
     shards: dict[ShardKey, Epoch] = {}
-    not_after: float = ALWAYS
+    not_after: float = NO_DEADLINE
 
 
 class Authorization(msgspec.Struct, frozen=True):
-    """What may be acted on.
+    """An assignment and the time for which it is proved to be the newest.
 
     Parameters
     ----------
     assignment : Assignment
         Newest version held.
     proved_until : float
-        Own clock time up to which it is proved to be the newest.
+        Local time until which it is proved to be the newest.
     """
 
     assignment: Assignment = EMPTY_ASSIGNMENT
@@ -75,14 +79,14 @@
     Parameters
     ----------
     token : Token
-        Its stamp and the times around the call.
+        Stamp of the upstream and the times around the call.
     orderer : str
-        Whose grants it held before the call.
+        Keeper whose grants the upstream held before the call.
     held : float
-        Seconds of life left to those.
+        Remaining lifetime of those grants in seconds.
     refused : frozenset
-        Shards it refused: to be granted, for a newer fence; to be given
-        up, since a request of them runs.
+        Shards that the upstream refused: a grant because it knows a newer
+        epoch, a release because a request for the shard is running.
     """
 
     token: Token
@@ -91,7 +95,7 @@
     refused: frozenset[ShardKey] = frozenset()
 
 
-def _list_taken(
+def _list_accepted(
     call: ControlCall, answer: ControlAnswer
 ) -> dict[ShardKey, Epoch]:
     return {
@@ -102,16 +106,18 @@
 
 
 class UpstreamReport(msgspec.Struct, frozen=True):
-    """What a keeper tells the assigner of its upstream.
+    """Report of a keeper to the assigner about one of its upstreams.
 
     Parameters
     ----------
+    upstream : UpstreamName
+        Upstream that the report is about.
     alive : bool
-        Whether it answers.
+        Whether the upstream answers.
     lost : dict
         Shards whose owner is gone, with the epoch it held.
     released : dict
-        Shards whose owner confirmed the release, with the fence.
+        Shards whose owner confirmed the release, with the new epoch.
     """
 
     upstream: UpstreamName
@@ -129,22 +135,23 @@
 
 
 class UpstreamLease:
-    """What one keeper may order of one upstream, and send to it.
+    """Orders and requests that one keeper may send to one upstream.
 
     Parameters
     ----------
     upstream : UpstreamName
-        The upstream.
+        Name of the upstream.
     orderer : str
         Host and incarnation of the keeper.
     checks_orders : bool
-        Whether the upstream refuses stale orders.
+        Whether the upstream rejects stale orders.
     timing : Timing
-        Durations.
+        Durations shared by all hosts.
     outranks : callable
-        Tells whether the keeper of an orderer name comes before this one.
+        Returns whether the keeper with a given orderer name takes
+        precedence over this one.
     now : float
-        Own clock.
+        Local clock.
     """
 
     def __init__(
@@ -166,27 +173,27 @@
         self._ledger = GrantLedger(timing.grant_life, timing.clock_error)
         self._in_flight: dict[ShardKey, int] = {}
         self._released: dict[ShardKey, Epoch] = {}
-        self._gone: dict[ShardKey, Epoch] = {}
+        self._lost_by_restart: dict[ShardKey, Epoch] = {}
         self._answered_at = now
         self._standing_back = True
 
     @property
     def standing_back(self) -> bool:
-        """Whether requests are left to another keeper."""
+        """Whether this keeper leaves all requests to another keeper."""
         return self._standing_back
 
     @property
     def token(self) -> Token | None:
-        """Newest stamp of the upstream."""
+        """Latest stamp of the upstream."""
         return self._ledger.token
 
     def update(self, authorization: Authorization) -> bool:
-        """Take in what may be acted on; return whether it has news."""
+        """Set the authorization; return whether the assignment changed."""
         known, self._authorization = self._authorization, authorization
         return known.assignment is not authorization.assignment
 
     def retire(self) -> None:
-        """Leave all requests to others from now on."""
+        """Leave all requests to other keepers from now on."""
         self._standing_back = True
 
     # Requests
@@ -194,10 +201,10 @@
     def find_refusal_reason(
         self, shard: ShardKey | None, expires: float, now: float
     ) -> Reason | None:
-        """Return why a request may not be sent at this very moment.
+        """Return why a request may not be sent right now, or None.
 
-        The task may have been paused anywhere before; only a look at the
-        clock right before the send shows whether the proof still holds.
+        Check this immediately before sending: the task may have been
+        suspended at any earlier point, and the proof may have expired.
         """
         if now >= expires:
             return Reason.DEADLINE
@@ -217,7 +224,7 @@
         return None
 
     def find_epoch(self, shard: ShardKey | None) -> Epoch:
-        """Return the epoch under which a request goes out."""
+        """Return the epoch to send with a request."""
         if shard is None:
             return NO_EPOCH
         return self._authorization.assignment.find_owner(shard).epoch
@@ -225,18 +232,18 @@
     def find_send_deadline(
         self, shard: ShardKey | None, expires: float
     ) -> float:
-        """Return the clock time after which a request may not be sent."""
+        """Return the local time after which a request may not be sent."""
         if shard is None:
             return expires
         return min(expires, self._authorization.proved_until)
 
     def begin_request(self, shard: ShardKey | None) -> None:
-        """Note that a request is being handed to the upstream."""
+        """Record that a request is about to be sent to the upstream."""
         if shard is not None:
             self._in_flight[shard] = self._in_flight.get(shard, 0) + 1
 
     def end_request(self, shard: ShardKey | None) -> None:
-        """Note that a request has ended, however."""
+        """Record that a request has ended, successfully or not."""
         if shard is None:
             return
         self._in_flight[shard] -= 1
@@ -246,7 +253,7 @@
     # Control calls
 
     def next_call(self, now: float) -> ControlCall:
-        """Return the control call to make now."""
+        """Return the control call to send now."""
         if self._ledger.token is None or self._standing_back:
             return ControlCall(ControlCallKind.STATUS)
         ready = self._find_releasable()
@@ -257,7 +264,7 @@
                 ControlCallKind.RELEASE, self._ledger.token, ready
             )
         if now >= self._authorization.proved_until:
-            # Without authority the call only shows whether it is alive.
+            # Without a proof only a health check may be sent.
             return ControlCall(ControlCallKind.STATUS)
         return ControlCall(
             ControlCallKind.GRANT,
@@ -267,60 +274,62 @@
         )
 
     def note_answer(self, call: ControlCall, answer: ControlAnswer) -> bool:
-        """Take in the answer to a call.
+        """Record the answer to a call.
 
         Returns
         -------
         bool
             Whether operations may have run under another keeper, so that
-            the log of operations no longer tells the whole.
+            this keeper's operation log is incomplete.
         """
         self._answered_at = answer.token.received_at
         self.health = Health.ALIVE
         if self._ledger.note_token(answer.token):
-            # The process that held these grants is gone with its state.
-            # The shards go through a release, as after any loss.
-            self._gone.update(
+            # The process that held these grants is gone, and its state with
+            # it. The shards are released as after any loss of an owner.
+            self._lost_by_restart.update(
                 self._authorization.assignment.list_owned(self.upstream)
             )
             return True
         foreign = answer.orderer not in ("", self._orderer)
-        yields = foreign and answer.held > 0 and self._outranks(answer.orderer)
+        yields_to_other = (
+            foreign and answer.held > 0 and self._outranks(answer.orderer)
+        )
         if call.kind is ControlCallKind.STATUS:
-            # Another keeper that comes first and still renews is left
-            # alone: two that outdid each other would have the upstream
-            # refuse the requests of both by turns.
-            self._standing_back = yields
+            # Leave the upstream to a keeper that takes precedence and still
+            # renews its grants. If two keepers kept overriding each other,
+            # the upstream would alternately refuse the requests of both.
+            self._standing_back = yields_to_other
             return False
         if call.kind is ControlCallKind.RELEASE:
-            self._released.update(_list_taken(call, answer))
+            self._released.update(_list_accepted(call, answer))
         else:
-            self._ledger.note_granted(call.token, _list_taken(call, answer))
-        self._standing_back = yields
+            self._ledger.note_granted(call.token, _list_accepted(call, answer))
+        self._standing_back = yields_to_other
         return foreign
 
     def note_failure(self, now: float) -> None:
-        """Take in that a call got no answer.
+        """Record that a call got no answer.
 
-        A failed call closes its connection, so a second failure was on a
-        new one: a connection that went silent is not taken for a loss.
+        A failed call closes its connection, so a second failure occurs on a
+        new one. A single broken connection does not count as a loss.
         """
         if now - self._answered_at > self._timing.silence:
             self.health = Health.LOST
 
     def list_granted(self, now: float) -> dict[ShardKey, Epoch]:
-        """Return shards the upstream certainly holds grants for."""
+        """Return the shards for which the upstream certainly holds grants."""
         return self._ledger.list_held(now)
 
     # Reports
 
     def has_news(self) -> bool:
-        """Tell whether the assigner has to hear of this upstream."""
+        """Return whether there is anything to report to the assigner."""
         lost = self.health is Health.LOST
         return lost or bool(self.list_lost() or self.list_released())
 
     def make_report(self) -> UpstreamReport:
-        """Return what the assigner has to hear."""
+        """Return the report for the assigner."""
         return UpstreamReport(
             self.upstream,
             self.health is not Health.LOST,
@@ -329,18 +338,18 @@
         )
 
     def list_lost(self) -> dict[ShardKey, Epoch]:
-        """Return shards whose owner's process is gone or silent."""
+        """Return the shards whose owner has restarted or does not answer."""
         owned = self._authorization.assignment.list_owned(self.upstream)
         if self.health is Health.LOST:
             return owned
         return {
             key: epoch
-            for key, epoch in self._gone.items()
+            for key, epoch in self._lost_by_restart.items()
             if owned.get(key) == epoch
         }
 
     def list_released(self) -> dict[ShardKey, Epoch]:
-        """Return shards the upstream confirmed to have given up."""
+        """Return the shards whose release the upstream has confirmed."""
         releasing = self._list_releasing()
         return {
             key: epoch
@@ -357,11 +366,12 @@
         }
 
     def _find_releasable(self) -> dict[ShardKey, Epoch]:
-        """Return shards to be given up now.
+        """Return the shards to release now.
 
-        A request that runs is let end, so that a planned move cuts none.
-        Only an upstream that remembers the fence is asked: another would
-        take a late renewal of a paused keeper after its confirmation.
+        A shard is released only after its running requests have ended, so
+        that a planned move interrupts none. Only an upstream that checks
+        epochs is asked: any other could accept a late renewal from a
+        suspended keeper after confirming the release.
         """
         if not self.checks_orders or self.health is Health.LOST:
             return {}
@@ -376,5 +386,5 @@
         return {
             key: epoch
             for key, epoch in owned.items()
-            if self._gone.get(key) != epoch
+            if self._lost_by_restart.get(key) != epoch
         }
--- a/sedgetide/core/ownership/limits.py
+++ b/sedgetide/core/ownership/limits.py
@@ -1,4 +1,4 @@
-"""Limits that upstreams name, as far as the balance goes by them."""
+"""Request rate limits of upstreams that load balancing takes into account."""
 
 from collections.abc import Mapping
 
@@ -6,47 +6,50 @@
 
 from sedgetide.core.identifiers import IncarnationName
 
-# Seconds. A limit that ends sooner is not worth the moves of keys away and
-# back.
-_LASTING = 1.5
-# Seconds; lenders report each 0.4 s, so three reports were missed.
-_SILENCE = 1.3
+# Seconds. Moving keys away and back does not pay off for shorter limits.
+_MIN_DURATION = 1.5
+# Seconds; lenders report every 0.4 s, so three reports were missed.
+_REPORT_TIMEOUT = 1.3
 
 
-class _Seen(msgspec.Struct):
+class _ReportedLimit(msgspec.Struct):
     rate: float
     since: float
     heard_at: float
 
 
 class LimitTracker:
-    """Limits in force, as the lenders of the upstreams report them."""
+    """Rate limits in force, as reported by the lenders of the upstreams.
+
+    A lender is a host that coordinates the requests of all hosts to an
+    upstream; see :class:`LenderList`.
+    """
 
     def __init__(self) -> None:
-        self._seen: dict[IncarnationName, _Seen] = {}
+        self._limits: dict[IncarnationName, _ReportedLimit] = {}
 
     def note(
         self, limits: Mapping[IncarnationName, float], now: float
     ) -> None:
-        """Take in a report, in requests a second."""
+        """Record reported limits, in requests per second."""
         for name, rate in limits.items():
-            seen = self._seen.get(name)
-            if seen is None or now - seen.heard_at > _SILENCE:
-                seen = self._seen[name] = _Seen(rate, now, now)
-            seen.rate = rate
-            seen.heard_at = now
+            reported = self._limits.get(name)
+            if reported is None or now - reported.heard_at > _REPORT_TIMEOUT:
+                reported = self._limits[name] = _ReportedLimit(rate, now, now)
+            reported.rate = rate
+            reported.heard_at = now
 
     def find(self, upstream: IncarnationName, now: float) -> float | None:
-        """Return a limit that has lasted, in requests a second, or None."""
-        seen = self._seen.get(upstream)
-        if seen is None or now - seen.heard_at > _SILENCE:
+        """Return a lasting limit in requests per second, or None."""
+        reported = self._limits.get(upstream)
+        if reported is None or now - reported.heard_at > _REPORT_TIMEOUT:
             return None
-        return seen.rate if now - seen.since >= _LASTING else None
+        return reported.rate if now - reported.since >= _MIN_DURATION else None
 
     def prune(self, now: float) -> None:
-        """Forget limits that are reported no longer."""
-        self._seen = {
-            name: seen
-            for name, seen in self._seen.items()
-            if now - seen.heard_at <= _SILENCE
+        """Remove limits that are no longer reported."""
+        self._limits = {
+            name: reported
+            for name, reported in self._limits.items()
+            if now - reported.heard_at <= _REPORT_TIMEOUT
         }
--- a/sedgetide/core/ownership/load.py
+++ b/sedgetide/core/ownership/load.py
@@ -1,10 +1,11 @@
-"""How busy keys and upstreams are, as hosts report it to the leader.
-
-An upstream of two slots is asked for six requests a second. What it was asked
-for in three seconds differs by a sixth from what it is asked for in the long
-run, by chance alone, and of two hundred upstreams the busiest seems half as
-busy again as it is. So there are several memories: short ones show a change
-soon, long ones show the rest, and each tells how much of it may be chance.
+"""Load of keys and upstreams as reported to the leader by the hosts.
+
+An upstream with two slots receives about six requests per second. Over three
+seconds its load deviates from the long-term mean by a sixth by chance alone,
+and among two hundred upstreams the busiest one appears half as busy again as
+it is. The load is therefore averaged over several time constants: short ones
+detect a change quickly, long ones reveal smaller differences, and each
+estimate includes its statistical noise.
 """
 
 from collections.abc import Collection
@@ -16,36 +17,40 @@
 from sedgetide.core.identifiers import Key
 from sedgetide.core.identifiers import ServiceName
 
-# Seconds. A burst of requests for a few keys shows within the first, a busy
-# range within the second, a lasting difference of a third between two of 200
-# upstreams within the third.
-_MEMORIES = (1.5, 5.0, 15.0)
-# Of a key's busy slots; less is forgotten. 0.005 is one request in 40 s.
-_SMALLEST = 0.005
-# Scaled weights grow until then; far below the largest number.
-_MOST_SCALED = 100.0
-# Share of a report's mean that goes into the mean work of a request.
+# Seconds. The first detects a burst of requests for a few keys, the second a
+# busy range, and the third a lasting difference of a third between two of 200
+# upstreams.
+_TIME_CONSTANTS = (1.5, 5.0, 15.0)
+# Occupied slots of a key below which it is dropped. 0.005 corresponds to one
+# request in 40 s.
+_MIN_RATE = 0.005
+# Age in time constants at which the exponentially growing weights are
+# rescaled, long before they overflow.
+_MAX_SCALED_AGE = 100.0
+# Weight of a report in the moving average of the work of a request.
 _WORK_GAIN = 0.02
-# Before the memory has filled up, this many seconds count as seen.
-_LEAST_SEEN = 0.3
-
-_SLOWNESS_FORGET = 8.0
-# Weight of the last answer: four answers show a slow-down.
-_SLOWNESS_GAIN = 0.25
-# The same in calm times. Times of answers vary by half, so the mean of 40
-# still varies by a sixteenth, and the slowest of 200 equal upstreams seems a
-# sixth slower than it is: less than is tolerated between two upstreams.
-_CALM_GAIN = 0.025
-# Answers that weigh as much as the belief that an upstream is as fast as the
-# others; with fewer, those that a few answers made seem slow lost keys.
-_BELIEF = 12
-# Four answers in a row vary by a fifth; four times that is no chance.
-_SURPRISE = 0.8
-_SLOWNESS_MOST = 8.0
+# Lower bound of the observed time in seconds, right after the first report.
+_MIN_OBSERVED_SECONDS = 0.3
+
+_SLOWNESS_DECAY = 8.0
+# Weight of the last answer in the short-term average, which shows a slowdown
+# after four answers.
+_SHORT_GAIN = 0.25
+# Weight of the last answer in the long-term average. Response times vary by
+# half, so a mean over 40 answers varies by a sixteenth, and the slowest of 200
+# equal upstreams appears a sixth slower than it is. This is less than the
+# difference that balancing tolerates.
+_LONG_GAIN = 0.025
+# Weight, in answers, of the prior that an upstream is as fast as the others.
+# With fewer, upstreams that seemed slow after a few answers lost keys.
+_PRIOR_ANSWERS = 12
+# The mean of four answers varies by a fifth; four times as much is not chance.
+_CHANGE_THRESHOLD = 0.8
+_MAX_SLOWNESS = 8.0
 
 
 class KeyWork(msgspec.Struct, frozen=True, array_like=True):
-    """Seconds of work that requests for one key asked for."""
+    """Work in seconds requested for one key."""
 
     service: ServiceName
     key: Key
@@ -53,18 +58,18 @@
 
 
 class UpstreamWork(msgspec.Struct, frozen=True, array_like=True):
-    """What a host saw of one upstream.
+    """Answers and failures of one upstream as observed by a host.
 
     Parameters
     ----------
     upstream : IncarnationName
-        Which.
+        Name of the upstream incarnation.
     answers : int
-        Answers.
+        Number of answers.
     slowness : float
-        Sum, over them, of the time taken over what is usual.
+        Sum over the answers of the ratio of response time to usual time.
     failures : int
-        Requests without a usable answer.
+        Number of requests without a usable answer.
     """
 
     upstream: IncarnationName
@@ -74,78 +79,91 @@
 
 
 class LoadEstimate(msgspec.Struct, frozen=True):
-    """Load of a service's keys, as one memory shows it.
+    """Load of a service's keys, averaged over one time constant.
 
     Parameters
     ----------
     rates : dict
-        Slots that each key keeps busy.
+        Average number of slots that each key occupies.
     noise : float
-        Variance by chance of each busy slot that is seen.
+        Variance by chance per occupied slot.
     """
 
     rates: dict[Key, float]
     noise: float = 0.0
 
 
-class _Memory:
-    """Work by key, of which less counts the longer ago it was.
+class _DecayingAverage:
+    """Exponentially decaying average of the work by key.
 
-    Weights are kept as they would be at the time of the last rescaling, so
-    that a report costs its own keys and not all that are known.
+    Weights are stored relative to the time of the last rescaling, so that a
+    report only updates its own keys instead of all known ones.
 
     Parameters
     ----------
-    span : float
-        Seconds after which work counts for a third.
+    time_constant : float
+        Seconds after which work counts for about a third.
     """
 
-    def __init__(self, span: float) -> None:
-        self._span = span
+    def __init__(self, time_constant: float) -> None:
+        self._time_constant = time_constant
         self._work: dict[Key, float] = {}
         self._scaled_at: float | None = None
 
     def note(self, key: Key, seconds: float, now: float) -> None:
         if self._scaled_at is None:
             self._scaled_at = now
-        age = (now - self._scaled_at) / self._span
-        if age > _MOST_SCALED:
+        age = (now - self._scaled_at) / self._time_constant
+        if age > _MAX_SCALED_AGE:
             self._rescale(now)
             age = 0.0
         self._work[key] = self._work.get(key, 0.0) + seconds * math.exp(age)
 
     def _rescale(self, now: float) -> None:
-        factor = math.exp(-(now - self._scaled_at) / self._span)
+        factor = math.exp(-(now - self._scaled_at) / self._time_constant)
         self._work = {
             key: work * factor
             for key, work in self._work.items()
-            if work * factor > _SMALLEST * self._span
+            if work * factor > _MIN_RATE * self._time_constant
         }
         self._scaled_at = now
 
-    def view(self, mean_work: float, seen: float, now: float) -> LoadEstimate:
-        """Return what is remembered.
+    def estimate(
+        self, mean_work: float, seen: float, now: float
+    ) -> LoadEstimate:
+        """Return the current estimate.
 
         Parameters
         ----------
         mean_work : float
-            Seconds of work of a request.
+            Mean work of a request in seconds.
         seen : float
-            Seconds since the first report: before the memory has filled
-            up, less than it holds came in.
+            Seconds since the first report, used to correct the average for
+            a period of observation shorter than the time constant.
+        now : float
+            Local clock.
         """
         if self._scaled_at is None:
             return LoadEstimate({})
         self._rescale(now)
-        held = self._span * (1.0 - math.exp(-seen / self._span))
-        squares = self._span * (1.0 - math.exp(-2.0 * seen / self._span)) / 2
+        held = self._time_constant * (
+            1.0 - math.exp(-seen / self._time_constant)
+        )
+        squares = (
+            self._time_constant
+            * (1.0 - math.exp(-2.0 * seen / self._time_constant))
+            / 2
+        )
         rates = {key: work / held for key, work in self._work.items()}
         return LoadEstimate(rates, mean_work * squares / held**2)
 
 
 class _ServiceLoad:
     def __init__(self) -> None:
-        self.memories = tuple(_Memory(span) for span in _MEMORIES)
+        self.averages = tuple(
+            _DecayingAverage(time_constant)
+            for time_constant in _TIME_CONSTANTS
+        )
         self.mean_work: float | None = None
 
     def note(self, work: Collection[KeyWork], now: float) -> None:
@@ -154,12 +172,12 @@
             self.mean_work = mean
         self.mean_work += _WORK_GAIN * (mean - self.mean_work)
         for each in work:
-            for memory in self.memories:
-                memory.note(each.key, each.seconds, now)
+            for average in self.averages:
+                average.note(each.key, each.seconds, now)
 
 
-class _Slowness:
-    """Time that answers of an upstream take, over what is usual."""
+class _SlownessEstimate:
+    """Ratio of an upstream's response times to the usual ones."""
 
     def __init__(self) -> None:
         self._short = 1.0
@@ -168,40 +186,40 @@
         self.noted_at = 0.0
 
     def note_answers(self, count: int, mean: float) -> None:
-        target = min(_SLOWNESS_MOST, mean)
+        target = min(_MAX_SLOWNESS, mean)
         self._answers += count
-        self._short += _find_gain(_SLOWNESS_GAIN, count) * (
+        self._short += _compound_gain(_SHORT_GAIN, count) * (
             target - self._short
         )
-        least = count / (self._answers + _BELIEF)
-        gain = max(least, _find_gain(_CALM_GAIN, count))
+        least = count / (self._answers + _PRIOR_ANSWERS)
+        gain = max(least, _compound_gain(_LONG_GAIN, count))
         self._long += gain * (target - self._long)
 
     def note_failure(self) -> None:
-        # A failed request has cost its slot and earned nothing.
-        self._short = min(_SLOWNESS_MOST, self._short * 1.15 + 0.1)
+        # A failed request occupied a slot without producing an answer.
+        self._short = min(_MAX_SLOWNESS, self._short * 1.15 + 0.1)
 
     @property
     def value(self) -> float:
-        if abs(self._short - self._long) > _SURPRISE * self._long:
+        if abs(self._short - self._long) > _CHANGE_THRESHOLD * self._long:
             return self._short
         return self._long
 
 
-def _find_gain(each: float, count: int) -> float:
+def _compound_gain(each: float, count: int) -> float:
     return 1.0 - (1.0 - each) ** count
 
 
 class LoadTracker:
-    """Work of the last seconds by key, and how slow each upstream is."""
+    """Recent work by key and slowness of each upstream."""
 
     def __init__(self) -> None:
         self._services: dict[ServiceName, _ServiceLoad] = {}
-        self._slowness: dict[IncarnationName, _Slowness] = {}
+        self._slowness: dict[IncarnationName, _SlownessEstimate] = {}
         self.began_at: float | None = None
 
     def note_keys(self, work: list[KeyWork], now: float) -> None:
-        """Take in work asked for since the last report of a host."""
+        """Record the work requested since the last report of a host."""
         if self.began_at is None and work:
             self.began_at = now
         by_service: dict[ServiceName, list[KeyWork]] = {}
@@ -212,11 +230,13 @@
             load.note(some, now)
 
     def note_upstreams(self, seen: list[UpstreamWork], now: float) -> None:
-        """Take in what a host saw of upstreams."""
+        """Record the observations of a host about upstreams."""
         for each in seen:
             if not each.answers and not each.failures:
                 continue
-            known = self._slowness.setdefault(each.upstream, _Slowness())
+            known = self._slowness.setdefault(
+                each.upstream, _SlownessEstimate()
+            )
             known.noted_at = now
             if each.answers:
                 known.note_answers(each.answers, each.slowness / each.answers)
@@ -226,33 +246,35 @@
     def list_views(
         self, service: ServiceName, now: float
     ) -> list[LoadEstimate]:
-        """Return the load as each memory shows it, the shortest first."""
+        """Return an estimate per time constant, the shortest one first."""
         load = self._services.get(service)
         if load is None or load.mean_work is None:
             return [LoadEstimate({})]
-        seen = _LEAST_SEEN
+        seen = _MIN_OBSERVED_SECONDS
         if self.began_at is not None:
             seen = max(seen, now - self.began_at)
         return [
-            memory.view(load.mean_work, seen, now) for memory in load.memories
+            average.estimate(load.mean_work, seen, now)
+            for average in load.averages
         ]
 
     def find_mean_work(self, service: ServiceName) -> float | None:
-        """Return the seconds of work of a request; None when unknown."""
+        """Return the mean work of a request in seconds, or None."""
         load = self._services.get(service)
         return None if load is None else load.mean_work
 
     def forget(self, known: Collection[IncarnationName]) -> None:
-        """Forget upstreams that are gone."""
+        """Remove all upstreams but the known ones."""
         for name in list(self._slowness):
             if name not in known:
                 del self._slowness[name]
 
     def find_slowness(self, upstream: IncarnationName, now: float) -> float:
-        """Return by what factor an upstream takes longer than usual."""
+        """Return the ratio of an upstream's response time to the usual one."""
         known = self._slowness.get(upstream)
         if known is None:
             return 1.0
-        # One that gets no requests has nothing to show that it recovered.
-        trust = math.exp(-(now - known.noted_at) / _SLOWNESS_FORGET)
+        # Without requests an upstream could never show that it has recovered,
+        # so its slowness decays.
+        trust = math.exp(-(now - known.noted_at) / _SLOWNESS_DECAY)
         return 1.0 + (known.value - 1.0) * trust
--- a/sedgetide/core/ownership/move_observations.py
+++ b/sedgetide/core/ownership/move_observations.py
@@ -1,18 +1,18 @@
-"""Since when it is certain that every leader knows of a move."""
+"""Times since which every leader is known to be aware of a move."""
 
 from sedgetide.core.ownership.ranges import RangeTable
 from sedgetide.core.ownership.ranges import Tenure
 
 
 class MoveObservations:
-    """Moves that this host has seen in the record, and since when.
-
-    A move stands in the record from the moment at which it was written;
-    but the leader that wrote it may not know that yet, if the answer was
-    lost, and renew the old owner's grant all the while. Only a later
-    version that still has the move proves that its writer knew: it was
-    written on top. Each leader after that has read it before its first
-    order.
+    """Moves that this host has observed in the stored range table.
+
+    A move is in the table from the time it was written, but if the answer
+    to the write was lost, the leader that wrote it may be unaware of it and
+    still renew the grant of the previous owner. Only a later version of the
+    table that still contains the move proves that its writer knew of it,
+    because that version was based on it. Later leaders have read the table
+    before they send their first order.
     """
 
     def __init__(self) -> None:
@@ -21,7 +21,7 @@
         self._first_seen: dict[Tenure, float] = {}
 
     def note_table(self, table: RangeTable, now: float) -> None:
-        """Take in a newer version of the record."""
+        """Record a newer version of the table."""
         before = set(self._table.list_moving())
         since = self._known_since
         first = self._first_seen
@@ -36,15 +36,15 @@
         self._table = table
 
     def find_first_seen(self, tenure: Tenure) -> float | None:
-        """Return when a move was first seen; None for one that was not."""
+        """Return when a move was first observed, or None."""
         return self._first_seen.get(tenure)
 
     def find_known_since(self, tenure: Tenure) -> float:
-        """Return since when each leader knows of a move.
+        """Return the time since which every leader knows of a move.
 
         Returns
         -------
         float
-            Own clock; infinite while it is not certain.
+            Local time; infinite while this is not certain.
         """
         return self._known_since.get(tenure, float("inf"))
--- a/sedgetide/core/ownership/planning.py
+++ b/sedgetide/core/ownership/planning.py
@@ -1,4 +1,7 @@
-"""What the assigner of a data centre changes next."""
+"""Planning of the next change of a data centre's assignment.
+
+The assigner is the keeper of a data centre that writes these changes.
+"""
 
 import collections
 from collections.abc import Collection
@@ -18,32 +21,32 @@
 
 
 class PlanningInput(msgspec.Struct, frozen=True):
-    """All that the next change of an assignment depends on.
+    """State on which the next change of an assignment depends.
 
     Parameters
     ----------
     wanted : dict
         Shards that must have an owner, by service.
-    takers : dict
-        Upstreams that may be given shards, by service.
+    eligible : dict
+        Upstreams to which shards may be assigned, by service.
     evicted : frozenset
-        Upstreams that must give up their shards in a planned way.
+        Upstreams that must give up their shards by planned moves.
     lost : dict
         Shards whose owner is gone, with the epoch it held.
     stopped : dict
-        Released shards whose old owner has stopped, with their fences.
+        Released shards whose previous owner has stopped, with their epochs.
     pins : dict
-        Owners chosen by the operators that can own now.
+        Owners configured by the operators that are eligible now.
     joiners : dict
-        Hosts that answer but are not on the member list.
+        Hosts that answer, to be on the member list with these addresses.
     absent : frozenset
-        Members that have been silent for long.
+        Members that have been silent for a long time.
     member_list_known : bool
-        Whether a majority knows the present member list.
+        Whether a majority knows the current member list.
     """
 
     wanted: Mapping[ServiceName, list[ShardKey]]
-    takers: Mapping[ServiceName, list[UpstreamName]]
+    eligible: Mapping[ServiceName, list[UpstreamName]]
     evicted: Collection[UpstreamName] = frozenset()
     lost: Mapping[ShardKey, Epoch] = {}
     stopped: Mapping[ShardKey, Epoch] = {}
@@ -53,12 +56,12 @@
     member_list_known: bool = False
 
 
-def _spread(
+def _assign_owners(
     keys: Collection[ShardKey],
     assignment: Assignment,
-    situation: PlanningInput,
+    inputs: PlanningInput,
 ) -> dict[ShardKey, UpstreamName]:
-    """Give each shard to its pin or the upstream that owns the fewest."""
+    """Assign each shard to its pin or to the upstream with the fewest."""
     counts: collections.Counter[UpstreamName] = collections.Counter(
         owner.upstream
         for owner in assignment.shards.values()
@@ -66,9 +69,9 @@
     )
     owners = {}
     for key in sorted(keys):
-        candidates = situation.takers.get(key.service, [])
-        if key in situation.pins:
-            candidates = [situation.pins[key]]
+        candidates = inputs.eligible.get(key.service, [])
+        if key in inputs.pins:
+            candidates = [inputs.pins[key]]
         if not candidates:
             continue
         chosen = min(candidates, key=lambda name: (counts[name], name))
@@ -78,40 +81,40 @@
 
 
 def _plan_completion(
-    assignment: Assignment, situation: PlanningInput, change_id: ChangeId
+    assignment: Assignment, inputs: PlanningInput, change_id: ChangeId
 ) -> Assignment | None:
-    owners = _spread(situation.stopped, assignment, situation)
+    owners = _assign_owners(inputs.stopped, assignment, inputs)
     if not owners:
         return None
-    return assignment.complete(owners, situation.stopped, change_id)
+    return assignment.complete(owners, inputs.stopped, change_id)
 
 
-def _plan_first(
-    assignment: Assignment, situation: PlanningInput, change_id: ChangeId
+def _plan_first_owners(
+    assignment: Assignment, inputs: PlanningInput, change_id: ChangeId
 ) -> Assignment | None:
     missing = [
         key
-        for keys in situation.wanted.values()
+        for keys in inputs.wanted.values()
         for key in keys
         if key not in assignment.shards
     ]
-    owners = _spread(missing, assignment, situation)
+    owners = _assign_owners(missing, assignment, inputs)
     return assignment.assign_first(owners, change_id) if owners else None
 
 
 def _plan_release(
-    assignment: Assignment, situation: PlanningInput, change_id: ChangeId
+    assignment: Assignment, inputs: PlanningInput, change_id: ChangeId
 ) -> Assignment | None:
     keys = [
         key
         for key, owner in assignment.shards.items()
         if owner.state is ShardState.OWNED
         and (
-            situation.lost.get(key) == owner.epoch
-            or situation.pins.get(key, owner.upstream) != owner.upstream
+            inputs.lost.get(key) == owner.epoch
+            or inputs.pins.get(key, owner.upstream) != owner.upstream
             or (
-                owner.upstream in situation.evicted
-                and situation.takers.get(key.service)
+                owner.upstream in inputs.evicted
+                and inputs.eligible.get(key.service)
             )
         )
     ]
@@ -119,47 +122,50 @@
 
 
 def _plan_members(
-    assignment: Assignment, situation: PlanningInput, change_id: ChangeId
+    assignment: Assignment, inputs: PlanningInput, change_id: ChangeId
 ) -> Assignment | None:
-    if assignment.members and not situation.member_list_known:
+    if assignment.members and not inputs.member_list_known:
         return None
-    for host in sorted(situation.joiners):
-        if assignment.members.get(host) != situation.joiners[host]:
-            return assignment.add_member(
-                host, situation.joiners[host], change_id
-            )
-    for host in sorted(situation.absent):
+    for host in sorted(inputs.joiners):
+        if assignment.members.get(host) != inputs.joiners[host]:
+            return assignment.add_member(host, inputs.joiners[host], change_id)
+    for host in sorted(inputs.absent):
         if host in assignment.members and len(assignment.members) > 1:
             return assignment.remove_member(host, change_id)
     return None
 
 
 def plan_change(
-    assignment: Assignment, situation: PlanningInput, change_id: ChangeId
+    assignment: Assignment, inputs: PlanningInput, change_id: ChangeId
 ) -> Assignment | None:
-    """Return the next version of an assignment, or None when it is right.
+    """Return the next version of an assignment, or None if it is up to date.
 
     Parameters
     ----------
     assignment : Assignment
-        Version in force.
-    situation : PlanningInput
-        What is known at present.
+        Current version.
+    inputs : PlanningInput
+        Current state of the data centre.
     change_id : ChangeId
         Unique id for the change.
 
     Returns
     -------
     Assignment or None
-        Dark shards come first, then the member list, which all waiting
-        depends on, then moves.
+        The first change that is due: next or first owners of shards that
+        have none, then releases, then the member list.
     """
-    plans = [_plan_completion, _plan_first, _plan_release, _plan_members]
+    plans = [
+        _plan_completion,
+        _plan_first_owners,
+        _plan_release,
+        _plan_members,
+    ]
     if not assignment.members:
-        # Without a member nobody is entitled to make the next change.
+        # Without members no host may write the next change.
         plans = [_plan_members]
     for plan in plans:
-        changed = plan(assignment, situation, change_id)
+        changed = plan(assignment, inputs, change_id)
         if changed is not None:
             return changed
     return None
--- a/sedgetide/core/ownership/projected_load.py
+++ b/sedgetide/core/ownership/projected_load.py
@@ -1,4 +1,4 @@
-"""How busy upstreams are, and would be after moves that are planned."""
+"""Utilization of upstreams, including the effect of planned moves."""
 
 import collections
 from collections.abc import Mapping
@@ -19,12 +19,12 @@
     Parameters
     ----------
     name : IncarnationName
-        Which.
+        Name of the upstream incarnation.
     slots : float
-        Requests it works on at a time; less of them while it is cold and
-        bears fewer a second.
+        Number of requests it processes concurrently; reduced while it is
+        cold and can handle fewer requests per second.
     slowness : float
-        Factor by which its requests take longer than usual.
+        Ratio of its response time to the usual one.
     """
 
     name: IncarnationName
@@ -33,7 +33,17 @@
 
 
 class ProjectedLoad:
-    """Busy share of each taker, as it would be after the moves so far."""
+    """Utilization of each eligible upstream after the moves planned so far.
+
+    Parameters
+    ----------
+    tenures : sequence of Tenure
+        All ranges, in order.
+    eligible : mapping
+        Upstreams that may own keys.
+    rates : mapping
+        Average number of slots that each key occupies.
+    """
 
     def __init__(
         self,
@@ -47,11 +57,11 @@
         }
         self.work = dict.fromkeys(eligible, 0.0)
         self.counts = dict.fromkeys(eligible, 0)
-        self.cuts: dict[IncarnationName, list[KeyRange]] = (
+        self.planned_ranges: dict[IncarnationName, list[KeyRange]] = (
             collections.defaultdict(list)
         )
-        # Upstreams that have more than enough to do with one key alone.
-        self.crowded: set[IncarnationName] = set()
+        # Upstreams that are fully occupied by a single hot key.
+        self.hot_key_owners: set[IncarnationName] = set()
         self.rates = rates
         groups = group_keys(rates, tenures)
         for tenure, keys in zip(tenures, groups, strict=True):
@@ -63,32 +73,34 @@
             if not tenure.moving:
                 self.keys[holder].append((tenure, keys))
 
-    def find_busy(self, name: IncarnationName, more: float = 0.0) -> float:
-        taker = self.eligible[name]
-        return (self.work[name] + more) * taker.slowness / taker.slots
+    def find_utilization(
+        self, name: IncarnationName, more: float = 0.0
+    ) -> float:
+        candidate = self.eligible[name]
+        return (self.work[name] + more) * candidate.slowness / candidate.slots
 
-    def find_mean(self) -> float:
-        """Return how busy an upstream is on average."""
-        busy = sum(self.find_busy(name) for name in self.eligible)
+    def find_mean_utilization(self) -> float:
+        """Return the mean utilization of the eligible upstreams."""
+        busy = sum(self.find_utilization(name) for name in self.eligible)
         return busy / len(self.eligible)
 
     def find_idlest(self) -> IncarnationName:
         return min(
-            self.eligible.keys() - self.crowded or self.eligible,
+            self.eligible.keys() - self.hot_key_owners or self.eligible,
             key=lambda name: (
-                self.find_busy(name),
+                self.find_utilization(name),
                 self.counts[name] / self.eligible[name].slots,
                 name,
             ),
         )
 
-    def shift(
+    def apply_move(
         self,
         work: float,
         source: IncarnationName | None,
-        goal: IncarnationName,
+        destination: IncarnationName,
     ) -> None:
         if source in self.work:
             self.work[source] -= work
-        self.work[goal] += work
-        self.counts[goal] += 1
+        self.work[destination] += work
+        self.counts[destination] += 1
--- a/sedgetide/core/ownership/ranges.py
+++ b/sedgetide/core/ownership/ranges.py
@@ -1,7 +1,7 @@
-"""Owners of the ranges of one service's ordered keys.
+"""Owners of the key ranges of one service.
 
-The aggregate is immutable; each command returns the next table, which is
-in force only once it stands in the store under the writer's leadership.
+Tables are immutable. Each method that changes one returns the next version,
+which takes effect only once the leader has written it to the store.
 """
 
 import bisect
@@ -25,7 +25,7 @@
 
 
 class KeyRange(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """Keys from ``low`` to ``high``, both included."""
+    """Keys from ``low`` to ``high``, both inclusive."""
 
     low: Key
     high: Key
@@ -34,11 +34,11 @@
         return self.high - self.low + 1
 
     def overlaps(self, other: "KeyRange") -> bool:
-        """Tell whether any key is in both."""
+        """Return whether the two ranges share any key."""
         return self.low <= other.high and other.low <= self.high
 
     def covers(self, other: "KeyRange") -> bool:
-        """Tell whether every key of another range is in this one."""
+        """Return whether this range contains all keys of another one."""
         return self.low <= other.low and other.high <= self.high
 
 
@@ -46,18 +46,24 @@
 
 
 class Tenure(msgspec.Struct, frozen=True, array_like=True):
-    """Who owns a range.
+    """Ownership of a key range by one upstream.
+
+    A fence is a fencing token: it increases with every change of ownership,
+    and an upstream rejects orders with a fence lower than one it has seen
+    for the same keys.
 
     Parameters
     ----------
     low, high : Key
-        The range.
+        First and last key of the range.
     owner : IncarnationName
-        Owner; while the range moves, the one that has to stop first.
+        Current owner; while the range is moving, the previous owner, which
+        has to stop first.
     fence : Fence
-        Fence of the owner's grant; while the range moves, of the next.
+        Fence of the owner's grant; while the range is moving, that of the
+        successor's.
     successor : IncarnationName
-        Who gets the range next; empty when it does not move.
+        Next owner of a moving range; empty otherwise.
     """
 
     low: Key
@@ -68,17 +74,17 @@
 
     @property
     def keys(self) -> KeyRange:
-        """The range."""
+        """Key range of the tenure."""
         return KeyRange(self.low, self.high)
 
     @property
     def moving(self) -> bool:
-        """Whether the range has no owner until the old one stopped."""
+        """Whether the range is moving to another owner."""
         return self.successor != NO_UPSTREAM
 
 
 class Move(msgspec.Struct, frozen=True):
-    """A range that is to get another owner."""
+    """A key range and the upstream that is to become its owner."""
 
     keys: KeyRange
     successor: IncarnationName
@@ -87,21 +93,21 @@
 class RangeTable(msgspec.Struct, frozen=True):
     """Owners of all keys of one service.
 
-    Invariants: tenures are disjoint, sorted, and cover all keys once any
-    was assigned; ``fence`` is the highest ever used; a range changes its
-    owner only by way of a move, at a fence of its own.
+    Invariants: tenures are disjoint, sorted, and cover all keys once any is
+    assigned; ``fence`` is the highest one ever used; a range changes its
+    owner only by a move, which gets a fence of its own.
     """
 
     fence: Fence = NO_FENCE
     tenures: tuple[Tenure, ...] = ()
 
     def find(self, key: Key) -> Tenure | None:
-        """Return the tenure of a key, or None before the first owners."""
-        index = bisect.bisect_right(self.tenures, key, key=_read_low) - 1
+        """Return the tenure of a key, or None if no keys are assigned."""
+        index = bisect.bisect_right(self.tenures, key, key=_get_low) - 1
         return self.tenures[index] if index >= 0 else None
 
     def list_owned(self, owner: IncarnationName) -> list[Tenure]:
-        """Return the ranges that an upstream owns and that stay."""
+        """Return the ranges of an upstream that are not moving."""
         return [
             each
             for each in self.tenures
@@ -109,7 +115,7 @@
         ]
 
     def list_moving(self) -> list[Tenure]:
-        """Return the ranges that are on their way."""
+        """Return the ranges that are moving."""
         return [each for each in self.tenures if each.moving]
 
     def assign_first(
@@ -125,22 +131,23 @@
         Raises
         ------
         RuleError
-            When keys have owners already, or there is none to give them.
+            If keys already have owners or no owners are given.
         """
         if self.tenures or not owners:
             raise RuleError(
                 Step.ASSIGN,
-                f"{len(self.tenures)} ranges and {len(owners)} owners: "
-                "accepted is no range and one owner or more",
+                f"cannot assign first owners with {len(self.tenures)} ranges "
+                f"and {len(owners)} owners: expected no ranges and at least "
+                "one owner",
             )
         fence = Fence(self.fence + 1)
         total = sum(weight for _, weight in owners)
         tenures = []
-        given = 0
+        assigned_weight = 0
         low = FIRST_KEY
         for name, weight in owners:
-            given += weight
-            end = Key(KEY_COUNT * given // total)
+            assigned_weight += weight
+            end = Key(KEY_COUNT * assigned_weight // total)
             if end > low:
                 tenures.append(Tenure(low, Key(end - 1), name, fence))
             low = end
@@ -149,31 +156,36 @@
     def restart(
         self, fence: Fence, owners: Collection[IncarnationName]
     ) -> "RangeTable":
-        """Settle all ranges anew, after everyone has given back theirs.
+        """Reassign all ranges after every upstream has released its keys.
+
+        Moving ranges go to their successors, and ranges whose owner is not
+        among ``owners`` to the upstream with the fewest keys.
 
         Parameters
         ----------
         fence : Fence
-            Above which the new one is.
+            Lower bound of the new fence, exclusive.
         owners : collection of IncarnationName
-            Who may own; ranges of others go to whoever has the fewest keys.
+            Upstreams that may own keys.
 
         Raises
         ------
         RuleError
-            When there is nobody to own them.
+            If ``owners`` is empty.
         """
         if not owners:
-            raise RuleError(Step.ASSIGN, "no owners: accepted is one or more")
+            raise RuleError(
+                Step.ASSIGN, "no owners given: expected at least one"
+            )
         fence = Fence(max(self.fence, fence) + 1)
         counts = dict.fromkeys(sorted(owners), 0)
-        heirs = [each.successor or each.owner for each in self.tenures]
-        for tenure, heir in zip(self.tenures, heirs, strict=True):
-            if heir in counts:
-                counts[heir] += len(tenure.keys)
+        next_owners = [each.successor or each.owner for each in self.tenures]
+        for tenure, next_owner in zip(self.tenures, next_owners, strict=True):
+            if next_owner in counts:
+                counts[next_owner] += len(tenure.keys)
         tenures: list[Tenure] = []
-        for tenure, heir in zip(self.tenures, heirs, strict=True):
-            owner = heir
+        for tenure, next_owner in zip(self.tenures, next_owners, strict=True):
+            owner = next_owner
             if owner not in counts:
                 owner = min(counts, key=counts.__getitem__)
                 counts[owner] += len(tenure.keys)
@@ -184,12 +196,12 @@
         return RangeTable(fence, tuple(tenures))
 
     def begin(self, moves: Iterable[Move]) -> "RangeTable":
-        """Begin to move ranges, each within one tenure that stays.
+        """Start moves, each of a part of one tenure that is not moving.
 
         Raises
         ------
         RuleError
-            When a range is not wholly owned by one upstream, or moves.
+            If a range spans several tenures or is already moving.
         """
         fence = self.fence
         tenures = list(self.tenures)
@@ -200,13 +212,13 @@
         return RangeTable(fence, tuple(tenures))
 
     def complete(self, moved: Iterable[Tenure]) -> "RangeTable":
-        """Make successors owners, once the old owners have stopped.
+        """Complete moves whose previous owners have stopped.
 
         Parameters
         ----------
         moved : iterable of Tenure
-            Moving tenures as they stand in this table; others, which a
-            later change has overtaken, are left alone.
+            Moving tenures of this table. Tenures that are no longer in the
+            table, because a later change replaced them, are ignored.
         """
         done = set(moved)
         tenures = [
@@ -218,25 +230,25 @@
         return RangeTable(self.fence, tuple(tenures))
 
     def merge(self) -> "RangeTable":
-        """Join neighbouring ranges of one owner, each at a new fence.
+        """Join adjacent ranges of the same owner, each at a new fence.
 
-        Moves cut ranges ever smaller, and each costs a renewal. The owner
-        stays, so nothing has to stop first. The same table is returned
-        when there is nothing to join.
+        Moves split ranges into ever smaller ones, and each range costs a
+        renewal. The owner does not change, so nothing has to stop first.
+        Returns the table itself if there is nothing to join.
         """
         fence = self.fence
         merged: list[Tenure] = []
-        grown: set[int] = set()
+        merged_indices: set[int] = set()
         for tenure in self.tenures:
             last = merged[-1] if merged else None
             if last is None or not _are_joinable(last, tenure):
                 merged.append(tenure)
                 continue
-            if len(merged) - 1 not in grown:
-                grown.add(len(merged) - 1)
+            if len(merged) - 1 not in merged_indices:
+                merged_indices.add(len(merged) - 1)
                 fence = Fence(fence + 1)
             merged[-1] = Tenure(last.low, tenure.high, last.owner, fence)
-        if not grown:
+        if not merged_indices:
             return self
         return RangeTable(fence, tuple(merged))
 
@@ -249,14 +261,19 @@
 def group_keys(
     keys: Iterable[Key], tenures: Iterable[Tenure]
 ) -> list[list[Key]]:
-    """Return the keys of each range, in order.
+    """Group keys by range.
 
     Parameters
     ----------
     keys : iterable of Key
-        In any order.
+        Keys in any order.
     tenures : iterable of Tenure
-        In order, and with no gap between them.
+        Ranges in ascending order, without gaps.
+
+    Returns
+    -------
+    list of list of Key
+        The sorted keys of each range.
     """
     ordered = sorted(keys)
     groups = []
@@ -268,25 +285,25 @@
     return groups
 
 
-def _read_low(tenure: Tenure) -> Key:
+def _get_low(tenure: Tenure) -> Key:
     return tenure.low
 
 
 def _find_index(tenures: Sequence[Tenure], keys: KeyRange) -> int:
-    index = bisect.bisect_right(tenures, keys.low, key=_read_low) - 1
+    index = bisect.bisect_right(tenures, keys.low, key=_get_low) - 1
     if index >= 0:
         tenure = tenures[index]
         if tenure.keys.covers(keys) and not tenure.moving:
             return index
     raise RuleError(
         Step.ASSIGN,
-        f"keys {keys.low} to {keys.high}: accepted is part of one range "
-        "that does not move",
+        f"cannot move keys {keys.low} to {keys.high}: expected a part of one "
+        "range that is not moving",
     )
 
 
 def _split(tenure: Tenure, move: Move, fence: Fence) -> list[Tenure]:
-    """Return what becomes of a tenure of which a part moves."""
+    """Return the tenures that replace one of which a part moves."""
     keys = move.keys
     parts = []
     if tenure.low < keys.low:
--- a/sedgetide/core/ownership/recovery.py
+++ b/sedgetide/core/ownership/recovery.py
@@ -1,10 +1,11 @@
-"""What has to be over before the first grant of an era of the store.
+"""Conditions for the first grant after the store was restored from a backup.
 
-In the seconds that the store has lost, keys may have moved, and nobody who
-lives needs to know of it. A leader that granted them to the owners that it
-knows would make two owners. So first everyone who may hold a key of the
-service gives all of them back, at a fence that no grant of before has; or so
-much time passes that no such grant can hold any longer.
+The restored store has lost its last writes. Keys may have moved in that time
+without any running host knowing of it, and a leader that granted them to the
+owners it knows could create a second owner. Therefore all upstreams that may
+hold keys of the service first release all of them, at a fence higher than
+that of any earlier grant, or the leader waits until all earlier grants have
+expired. Each restoration begins a new era of the store.
 """
 
 from collections.abc import Collection
@@ -17,51 +18,51 @@
 
 
 def find_first_fence(era: Era) -> Fence:
-    """Return a fence that is above all those of earlier eras.
+    """Return a fence that is higher than all fences of earlier eras.
 
-    Fences are counted in the table of owners, and begin anew with an older
-    one: without the era in their high digits they would be given out again.
+    Fences are counted in the range table, so a restored older table would
+    issue some of them again. The era in the high bits prevents this.
     """
     return Fence(era << _ERA_BITS)
 
 
 class Recovery:
-    """Who has given back the keys of one service.
+    """Upstreams of one service that have released their keys in a new era.
 
     Parameters
     ----------
     settled_at : float
-        When everyone who lives is registered again; before, it is not known
-        whom to ask.
+        Time at which all running upstreams are registered again. Before it
+        the upstreams to ask are not known.
     grants_expire_at : float
-        When nothing granted in earlier eras can hold any longer.
+        Time at which all grants of earlier eras have expired.
     """
 
     def __init__(self, settled_at: float, grants_expire_at: float) -> None:
         self._settled_at = settled_at
-        self._over_at = grants_expire_at
+        self._grants_expire_at = grants_expire_at
         self._released: set[IncarnationName] = set()
 
     def note_released(self, upstream: IncarnationName) -> None:
-        """Take in that an upstream has given back all keys."""
+        """Record that an upstream has released all keys."""
         self._released.add(upstream)
 
     def list_released(self) -> Collection[IncarnationName]:
-        """Return the upstreams that have given back all keys."""
+        """Return the upstreams that have released all keys."""
         return frozenset(self._released)
 
     def list_pending_releases(
         self, upstreams: Collection[IncarnationName], now: float
     ) -> list[IncarnationName]:
-        """Return the upstreams that have to give back their keys now."""
-        if not self._settled_at <= now < self._over_at:
+        """Return the upstreams that still have to release their keys."""
+        if not self._settled_at <= now < self._grants_expire_at:
             return []
         return [each for each in upstreams if each not in self._released]
 
     def is_over(
         self, upstreams: Collection[IncarnationName], now: float
     ) -> bool:
-        """Tell whether keys may be granted to anyone."""
-        if now >= self._over_at:
+        """Return whether keys may be granted again."""
+        if now >= self._grants_expire_at:
             return True
         return now >= self._settled_at and self._released.issuperset(upstreams)
--- a/sedgetide/core/ownership/terms.py
+++ b/sedgetide/core/ownership/terms.py
@@ -1,4 +1,4 @@
-"""What one leader may order in its term, and what it must wait for."""
+"""Grants that a leader may send in its term, and when earlier ones expire."""
 
 import msgspec
 
@@ -12,14 +12,14 @@
 
 
 class Grant(msgspec.Struct, frozen=True):
-    """Terms of one grant.
+    """Lifetime of one grant and its entry in the hold ledger.
 
     Parameters
     ----------
     life : float
         Seconds for which the upstream holds the keys.
     hold : Hold
-        Its place in the ledger.
+        Entry in the ledger.
     """
 
     life: float
@@ -27,19 +27,22 @@
 
 
 class Term:
-    """Grants of one leader, from the write of its record to its end.
+    """Grants sent by one leader during its term.
+
+    A term lasts from the write of the leader's record to the loss of that
+    record; see :class:`Leadership`.
 
     Parameters
     ----------
     leadership : Leadership
-        Proof that the record is still the own one.
+        Proof that this host is still the leader.
     durations : Durations
-        On which single ownership rests.
+        Durations that guarantee single ownership.
 
     Attributes
     ----------
     inherited_until : float
-        When orders of earlier leaders have certainly run out.
+        Local time at which all grants of earlier leaders have expired.
     """
 
     def __init__(self, leadership: Leadership, durations: Durations) -> None:
@@ -51,7 +54,7 @@
 
     @property
     def longest_hold(self) -> float:
-        """Seconds for which an order of an earlier leader may hold."""
+        """Seconds for which a grant of an earlier leader may be held."""
         return self._durations.max_inherited_hold()
 
     @property
@@ -60,35 +63,35 @@
         return self._position.era
 
     def may_order(self, now: float) -> bool:
-        """Tell whether an order may be sent at this very moment.
+        """Return whether an order may be sent right now.
 
-        An order prepared in an earlier term of the same host knows nothing
-        of what another leader did in between.
+        An order prepared in an earlier term of this host must not be sent:
+        another leader may have moved the keys in between.
         """
         if self._leadership.term != self._position:
             return False
         return self._leadership.may_order(now)
 
     def is_fresh(self, now: float) -> bool:
-        """Tell whether the last proof came when it was due."""
+        """Return whether orders may be sent and the last proof is recent."""
         return self.may_order(now) and self._leadership.is_fresh(now)
 
     def prepare_grant(
         self, upstream: IncarnationName, keys: KeyRange, now: float
     ) -> Grant | None:
-        """Return the terms of a grant that is sent right after.
+        """Record a grant that the caller sends immediately afterwards.
 
         Returns
         -------
         Grant or None
-            None when no order may be sent.
+            None if no order may be sent.
 
         Notes
         -----
-        The grant is noted before it is sent: whether or not an answer
-        comes, the upstream may hold the keys from then on. Its life begins
-        when it arrives, so until its answer is here the latest moment at
-        which it can arrive counts.
+        The grant is recorded before it is sent, because the upstream may
+        hold the keys from then on even if no answer comes. Its lifetime
+        starts when it arrives, so until it is answered the hold is bounded
+        by the latest possible time of arrival.
         """
         if not self.may_order(now):
             return None
@@ -98,12 +101,12 @@
         return Grant(life, self._holds.note_grant(upstream, keys, until))
 
     def note_arrival(self, grant: Grant, now: float) -> None:
-        """Take in that a grant was answered, or taken back unanswered."""
+        """Record that a grant was answered, or withdrawn without answer."""
         until = now + self._durations.bound_hold(grant.life)
         grant.hold.until = min(grant.hold.until, until)
 
     def note_release(self, upstream: IncarnationName, keys: KeyRange) -> None:
-        """Take in that an upstream answered the release of keys."""
+        """Record that an upstream answered the release of keys."""
         self._holds.note_release(upstream, keys)
 
     def find_hold_end(
@@ -112,15 +115,15 @@
         keys: KeyRange,
         known_since: float,
     ) -> float:
-        """Return when an upstream can not hold keys any longer.
+        """Return the time at which an upstream can no longer hold keys.
 
         Parameters
         ----------
         known_since : float
-            Since when each leader knows that they move; see
-            :class:`MoveObservations`. After that none has granted them to
-            their old owner, but for one that had lost its record before
-            and did not know it yet.
+            Time since which every leader knows of the move of the keys; see
+            :class:`MoveObservations`. After it no leader has granted them
+            to the previous owner, except one that had lost its record
+            before without knowing it yet.
         """
         inherited = known_since + self._durations.max_inherited_hold()
         return self._holds.find_hold_end(upstream, keys, inherited)
@@ -132,7 +135,7 @@
         known_since: float,
         now: float,
     ) -> bool:
-        """Tell whether an upstream can not hold keys any longer.
+        """Return whether an upstream can no longer hold keys.
 
         Parameters
         ----------
@@ -142,5 +145,5 @@
         return now >= self.find_hold_end(upstream, keys, known_since)
 
     def prune(self, now: float) -> None:
-        """Forget holds that have ended."""
+        """Remove holds that have ended."""
         self._holds.prune(now)
--- a/tests/core/ownership/test_assignment.py
+++ b/tests/core/ownership/test_assignment.py
@@ -1,4 +1,4 @@
-"""Tests of the assignment's rules."""
+"""Tests of the invariants of assignments and the planning of changes."""
 
 import testtools
 
@@ -28,8 +28,8 @@
 
 
 def make_owned():
-    founded = EMPTY_ASSIGNMENT.add_member(A, MEMBER, CHANGE)
-    return founded.assign_first(dict.fromkeys(KEYS, U), CHANGE)
+    with_member = EMPTY_ASSIGNMENT.add_member(A, MEMBER, CHANGE)
+    return with_member.assign_first(dict.fromkeys(KEYS, U), CHANGE)
 
 
 class AssignmentTest(testtools.TestCase):
@@ -45,8 +45,8 @@
         self.assertEqual(3, len(moved.list_owned(U)))
 
     def test_proof_of_an_earlier_move_is_refused(self):
-        # The proof that an owner stopped at epoch 2 says nothing about the
-        # owner of epoch 2 itself, who has to stop at epoch 3.
+        # A proof that an owner stopped at epoch 2 does not cover the owner
+        # of epoch 2 itself, which has to stop at epoch 3.
         again = (
             make_owned()
             .release(KEYS[:1], CHANGE)
@@ -72,18 +72,18 @@
 
 
 class PlanTest(testtools.TestCase):
-    def plan(self, assignment, **situation):
-        situation.setdefault("wanted", {S: KEYS})
-        situation.setdefault("takers", {S: [U, V]})
-        return plan_change(assignment, PlanningInput(**situation), CHANGE)
+    def plan(self, assignment, **inputs):
+        inputs.setdefault("wanted", {S: KEYS})
+        inputs.setdefault("eligible", {S: [U, V]})
+        return plan_change(assignment, PlanningInput(**inputs), CHANGE)
 
-    def test_founds_the_member_list_first(self):
+    def test_creates_the_member_list_first(self):
         planned = self.plan(EMPTY_ASSIGNMENT, joiners={A: MEMBER})
         self.assertEqual(Assignment(CHANGE, {A: MEMBER}, {}), planned)
 
     def test_spreads_first_owners_evenly(self):
-        founded = EMPTY_ASSIGNMENT.add_member(A, MEMBER, CHANGE)
-        planned = self.plan(founded)
+        with_member = EMPTY_ASSIGNMENT.add_member(A, MEMBER, CHANGE)
+        planned = self.plan(with_member)
         self.assertEqual(2, len(planned.list_owned(U)))
         self.assertEqual(2, len(planned.list_owned(V)))
 
@@ -93,15 +93,16 @@
         self.assertEqual([KEYS[0]], list(planned.list_releasing()))
 
     def test_evicts_only_when_somebody_can_take_over(self):
-        # Drained alone, the only upstream would leave its keys dark.
+        # If the only upstream is drained, its keys would have no owner.
         assignment = make_owned()
-        self.assertIsNone(self.plan(assignment, evicted={U}, takers={S: []}))
-        planned = self.plan(assignment, evicted={U}, takers={S: [V]})
+        self.assertIsNone(self.plan(assignment, evicted={U}, eligible={S: []}))
+        planned = self.plan(assignment, evicted={U}, eligible={S: [V]})
         self.assertEqual(4, len(planned.list_releasing()))
 
     def test_member_list_changes_by_one_once_known(self):
-        # Majorities of lists that are two changes apart need not meet, so
-        # an old keeper could find a majority that never heard of a move.
+        # Majorities of lists that are two changes apart need not share a
+        # member, so a keeper with an outdated list could find a majority
+        # that does not know of a move.
         joiners = {A: MEMBER, B: MEMBER, HostName("c"): MEMBER}
         assignment = make_owned()
         self.assertIsNone(self.plan(assignment, joiners=joiners))
--- a/tests/core/ownership/test_authority.py
+++ b/tests/core/ownership/test_authority.py
@@ -27,22 +27,23 @@
         self.assertTrue(self.authority.counting)
 
     def test_store_read_of_newer_revision_proves_nothing(self):
-        # The caller would see two owners: a keeper that still holds the
-        # old assignment read the store after the move began. Its own copy
-        # is behind, so the read must not count for it.
+        # A keeper that still holds the old assignment reads the store after
+        # a move has started. The read must not prove the old assignment,
+        # or a shard would have two owners.
         self.authority.note_store(10.0, NEW)
         self.assertEqual(NEVER, self.prove(10.1))
 
     def test_restarted_member_counts_for_nobody(self):
-        # A member was told of a release, restarted and forgot it. The old
-        # keeper, cut off from the store, asks it. Its word and that of the
-        # old keeper itself, fresh too, must not make a majority.
+        # A member restarts and loses its knowledge of a release. A keeper
+        # that has restarted too and cannot reach the store asks it. The two
+        # must not form a majority.
         self.authority.note_member(B, 10.0, OLD, counting=False)
         self.assertEqual(NEVER, self.prove(10.1))
 
     def test_restarted_host_needs_a_majority_of_others(self):
-        # The host itself has just started without the store: one other
-        # member may have missed what it forgot, two of three can not.
+        # The host has just started and cannot reach the store. One other
+        # member may have missed the revision that the host lost, but not
+        # two of three.
         self.authority.note_member(B, 10.0, OLD, counting=True)
         self.assertEqual(NEVER, self.prove(10.1))
         self.assertFalse(self.authority.counting)
@@ -62,16 +63,16 @@
         self.authority.note_member(B, 20.0, NEW, counting=True)
         self.assertEqual(9.9 + LIFE, self.prove(20.1))
 
-    def test_word_of_a_host_off_the_list_does_not_count(self):
-        # Two hosts taken off the list keep running, cut off with an old
-        # keeper. Were they heard, they would make a majority with it while
-        # the real list moves the shard.
+    def test_answer_of_a_removed_member_does_not_count(self):
+        # Two removed hosts keep running, cut off together with a keeper
+        # that has an old list. If they counted, they would form a majority
+        # with it while the current members move the shard.
         self.authority.note_store(9.9, OLD)
         self.prove(10.0)
         self.authority.note_member(HostName("gone"), 20.0, OLD, True)
         self.assertEqual(9.9 + LIFE, self.prove(20.1))
 
-    def test_proof_ages_by_the_voice_that_completes_it(self):
+    def test_proof_age_is_that_of_the_answer_completing_the_majority(self):
         members = [*MEMBERS, HostName("d"), HostName("e")]
         self.authority.note_store(0.0, OLD)
         self.prove(0.1)
@@ -79,9 +80,9 @@
         self.authority.note_member(C, 19.8, OLD, True)
         self.assertEqual(19.8 + LIFE, self.prove(20.1, members=members))
 
-    def test_late_older_word_does_not_replace_a_newer(self):
-        # Answers overtake each other. An older answer that came last would
-        # hide that the member knows of a release.
+    def test_late_older_answer_does_not_replace_a_newer_one(self):
+        # Answers may arrive out of order. An older answer that arrives last
+        # must not hide that the member knows of a release.
         self.authority.note_member(B, 20.0, NEW, True)
         self.authority.note_member(B, 19.0, OLD, True)
         self.assertFalse(self.authority.is_known(NEW, [A, C]))
@@ -89,7 +90,7 @@
         self.prove(20.1, held=NEW)
         self.assertTrue(self.authority.is_known(NEW, MEMBERS))
 
-    def test_list_of_one_vouches_for_itself(self):
+    def test_only_member_is_its_own_majority(self):
         self.authority.note_store(1.0, OLD)
         self.prove(1.1, members=[A])
         self.assertEqual(50.0 + LIFE, self.prove(50.0, members=[A]))
--- a/tests/core/ownership/test_balance.py
+++ b/tests/core/ownership/test_balance.py
@@ -1,4 +1,4 @@
-"""Tests of which ranges get another owner."""
+"""Tests of the planning of moves that balance load."""
 
 import testtools
 
@@ -14,19 +14,19 @@
 from sedgetide.core.ownership.ranges import RangeTable
 
 
-def make_takers(*names, **slowness):
+def make_eligible(*names, **slowness):
     return {
         name: EligibleUpstream(name, 2, slowness.get(name, 1.0))
         for name in names
     }
 
 
-def settle(table, moves):
+def complete_moves(table, moves):
     table = table.begin(moves)
     return table.complete(table.list_moving())
 
 
-def sum_busy(table, eligible, rates):
+def sum_utilization(table, eligible, rates):
     busy = dict.fromkeys(eligible, 0.0)
     for key, rate in rates.items():
         owner = table.find(key).owner
@@ -35,12 +35,12 @@
 
 
 class TestPlanBalance(testtools.TestCase):
-    """Busy runs of keys are cut out and go to the idlest."""
+    """Runs of busy keys are cut out and moved to the idlest upstreams."""
 
     def setUp(self):
         super().setUp()
         self.names = ["a", "b", "c", "d"]
-        self.eligible = make_takers(*self.names)
+        self.eligible = make_eligible(*self.names)
         self.table = RangeTable().assign_first(
             [(name, 2) for name in self.names]
         )
@@ -52,13 +52,13 @@
             moves = plan_balance(table, eligible, rates)
             if not moves:
                 break
-            table = settle(table, moves)
+            table = complete_moves(table, moves)
         return table
 
     def test_busy_neighbours_are_spread(self):
         rates = {key: 0.02 for key in range(1000, 1200)}
         table = self.balance(rates)
-        busy = sum_busy(table, self.eligible, rates)
+        busy = sum_utilization(table, self.eligible, rates)
         self.assertLess(max(busy.values()), 0.75)
         self.assertGreater(min(busy.values()), 0.25)
 
@@ -72,15 +72,15 @@
         self.assertEqual([], plan_balance(self.table, self.eligible, rates))
 
     def test_one_hot_key_keeps_its_owner_and_loses_neighbours(self):
-        # One key alone is more than half of the load: moving it would only
-        # move the trouble. Its neighbours go instead.
+        # One key alone is more than half of the load. Moving it would only
+        # overload another upstream, so its neighbours are moved instead.
         rates = {100: 1.6, 101: 0.2, 102: 0.2, 103: 0.2}
         table = self.balance(rates)
         self.assertEqual("a", table.find(100).owner)
         self.assertNotEqual("a", table.find(102).owner)
 
     def test_slow_upstream_loses_load(self):
-        eligible = make_takers(*self.names, a=6.0)
+        eligible = make_eligible(*self.names, a=6.0)
         rates = {key * 100: 0.02 for key in range(80)}
         table = self.balance(rates, eligible)
         work = sum(
@@ -89,33 +89,34 @@
         self.assertLess(work, 0.4)
 
     def test_empty_newcomer_gets_some_at_once(self):
-        eligible = make_takers(*self.names, "e")
+        eligible = make_eligible(*self.names, "e")
         rates = {key * 1000: 0.02 for key in range(60)}
         moves = plan_balance(self.table, eligible, rates)
         self.assertIn("e", [move.successor for move in moves])
 
     def test_large_service_is_spread_as_soon_as_a_small_one(self):
-        # Callers of a service of 160 upstreams wait at full ones for as
-        # long as it takes to move the busy keys away. Eight moves a round
-        # do for twenty upstreams; here they would take half a minute.
+        # Callers wait at overloaded upstreams until the busy keys have been
+        # moved. Eight moves per round are enough for twenty upstreams, but
+        # would take half a minute for 160.
         names = [f"u{number:03}" for number in range(160)]
-        eligible = make_takers(*names)
+        eligible = make_eligible(*names)
         table = RangeTable().assign_first([(name, 2) for name in names])
         rates = {key * 8: 0.04 for key in range(3000)}
         for _ in range(4):
             moves = plan_balance(
                 table, eligible, rates, max_concurrent_moves(160)
             )
-            table = settle(table, moves)
-        busy = sum_busy(table, eligible, rates)
+            table = complete_moves(table, moves)
+        busy = sum_utilization(table, eligible, rates)
         self.assertLess(max(busy.values()), 1.5 * sum(busy.values()) / 160)
 
-    def test_upstreams_that_come_back_together_are_filled_in_one_round(self):
-        # A cut data centre returns: eight upstreams of twenty-two own
-        # nothing, the others have half more than usual and refuse. At eight
-        # moves a round it took seven rounds, 5.6 s, to even out.
+    def test_upstreams_that_return_together_are_filled_in_one_round(self):
+        # A data centre returns after a partition: eight of twenty-two
+        # upstreams own nothing, the others have half as much load again and
+        # refuse requests. With eight moves per round, balancing took seven
+        # rounds or 5.6 s.
         names = [f"u{number:02}" for number in range(22)]
-        eligible = make_takers(*names)
+        eligible = make_eligible(*names)
         table = RangeTable().assign_first([(name, 1) for name in names[:14]])
         rates = {key * 20: 0.01 for key in range(3200)}
         empty = count_empty(table, eligible)
@@ -123,17 +124,17 @@
         moves = plan_balance(
             table, eligible, rates, max_concurrent_moves(22, empty)
         )
-        table = settle(table, moves)
-        busy = sum_busy(table, eligible, rates)
+        table = complete_moves(table, moves)
+        busy = sum_utilization(table, eligible, rates)
         mean = sum(busy.values()) / len(eligible)
         self.assertGreater(min(busy.values()), 0.5 * mean)
         self.assertLess(max(busy.values()), 1.4 * mean)
 
-    def test_every_upstream_may_be_without_a_cut(self):
-        # Each of a thousand upstreams is busy with one key alone; looking
-        # for one that can give something must end.
+    def test_search_ends_if_no_upstream_has_a_range_to_give(self):
+        # Each of a thousand upstreams is busy with a single key, so none
+        # has a range to give. The search must terminate.
         names = [f"u{number:04}" for number in range(1200)]
-        eligible = make_takers(*names)
+        eligible = make_eligible(*names)
         table = RangeTable().assign_first([(name, 2) for name in names])
         rates = {tenure.low: 2.0 for tenure in table.tenures[:-1]}
         moves = plan_balance(
@@ -149,11 +150,11 @@
 
 
 class TestPlanEvictions(testtools.TestCase):
-    """Ranges of those that may own nothing any longer go to others."""
+    """Ranges of upstreams that may no longer own keys go to others."""
 
     def test_ranges_of_a_leaver_are_spread(self):
         table = RangeTable().assign_first([("a", 1), ("b", 1), ("c", 1)])
-        moves = plan_evictions(table, make_takers("b", "c"), {})
+        moves = plan_evictions(table, make_eligible("b", "c"), {})
         self.assertEqual(["a"], [table.find(m.keys.low).owner for m in moves])
 
     def test_nobody_left_to_take_them(self):
@@ -161,20 +162,22 @@
         self.assertEqual([], plan_evictions(table, {}, {}))
 
 
-class TestPlanTidying(testtools.TestCase):
-    """Idle scraps go to a neighbour's owner."""
+class TestPlanConsolidation(testtools.TestCase):
+    """Narrow idle ranges go to the owner of a neighbouring range."""
 
-    def test_idle_scraps_are_joined_and_busy_ones_stay(self):
-        eligible = make_takers("a", "b")
+    def test_narrow_idle_ranges_are_joined_and_busy_ones_stay(self):
+        eligible = make_eligible("a", "b")
         table = RangeTable().assign_first([("a", 1), ("b", 1)])
         for low in range(0, 400, 20):
-            table = settle(table, [Move(KeyRange(low + 5, low + 9), "b")])
+            table = complete_moves(
+                table, [Move(KeyRange(low + 5, low + 9), "b")]
+            )
         before = len(table.tenures)
         rates = {6: 0.5}
         for _ in range(20):
             moves = plan_consolidation(table, eligible, rates, 4)
             if not moves:
                 break
-            table = settle(table, moves).merge()
+            table = complete_moves(table, moves).merge()
         self.assertEqual("b", table.find(6).owner)
         self.assertLess(len(table.tenures), before / 2)
--- a/tests/core/ownership/test_evacuation.py
+++ b/tests/core/ownership/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Tests of how keys leave an evacuated data centre."""
+"""Tests of the move of keys out of an evacuated data centre."""
 
 import collections
 
@@ -14,7 +14,7 @@
 
 
 class TestPace(testtools.TestCase):
-    def play(self, left, serving=True):
+    def run_pacer(self, left, serving=True):
         pace = EvacuationPacer()
         begun = []
         for tick in range(30):
@@ -28,21 +28,21 @@
 
     def test_a_quarter_at_a_time(self):
         self.assertEqual(
-            [(0.0, 25), (0.4, 25), (0.8, 25), (1.2, 25)], self.play(100)
+            [(0.0, 25), (0.4, 25), (0.8, 25), (1.2, 25)], self.run_pacer(100)
         )
 
     def test_few_ranges(self):
-        self.assertEqual([(0.0, 1), (0.4, 1), (0.8, 1)], self.play(3))
+        self.assertEqual([(0.0, 1), (0.4, 1), (0.8, 1)], self.run_pacer(3))
 
     def test_at_once_when_nobody_sends_there_any_more(self):
         """A leader takes over late in an evacuation.
 
-        Hosts send nothing to the owners any longer, so a pause keeps no
-        queue short and leaves keys dark.
+        Hosts no longer send requests to the owners, so pacing the moves
+        would only prolong the time for which keys are unavailable.
         """
-        self.assertEqual([(0.0, 100)], self.play(100, serving=False))
+        self.assertEqual([(0.0, 100)], self.run_pacer(100, serving=False))
 
-    def test_asked_again_begins_anew(self):
+    def test_next_evacuation_is_paced_from_the_beginning(self):
         pace = EvacuationPacer()
         for tick in range(20):
             pace.allow(100, True, tick * 0.4)
@@ -51,7 +51,7 @@
 
 
 class TestPlan(testtools.TestCase):
-    """Ranges of twelve upstreams, of which the first four have to go."""
+    """Ranges of twelve upstreams, of which the first four are evacuated."""
 
     def setUp(self):
         super().setUp()
@@ -82,10 +82,12 @@
         self.assertEqual(2, len({each.successor for each in moves}))
 
     def test_spread_by_the_room_that_is_left(self):
-        goals = collections.Counter(each.successor for each in self.plan(9))
-        self.assertEqual(4, len(goals))
-        # The least busy of those that stay.
-        self.assertLessEqual({"u-04", "u-08"}, set(goals))
+        destinations = collections.Counter(
+            each.successor for each in self.plan(9)
+        )
+        self.assertEqual(4, len(destinations))
+        # The least busy of the remaining upstreams.
+        self.assertLessEqual({"u-04", "u-08"}, set(destinations))
 
     def test_evictions_leave_them_alone(self):
         moves = plan_evictions(
--- a/tests/core/ownership/test_handover.py
+++ b/tests/core/ownership/test_handover.py
@@ -1,4 +1,4 @@
-"""Tests of the proof that an old owner has stopped."""
+"""Tests of the proof that a previous owner has stopped."""
 
 import testtools
 
@@ -19,7 +19,7 @@
 U = UpstreamName("u")
 
 
-def wait_of(longest_request):
+def takeover_wait(longest_request):
     return 1.0 + longest_request
 
 
@@ -33,43 +33,45 @@
     def follow(self, revision=5, longest=0.0):
         self.tracker.follow(Revision(revision), self.released, {KEY: longest})
 
-    def tell(self, now, member, revision=5, counting=True):
+    def record(self, now, member, revision=5, counting=True):
         self.tracker.note_member(
             now, member, Revision(revision), counting, MEMBERS
         )
 
     def stopped(self, now):
-        return self.tracker.list_stopped(now, wait_of)
+        return self.tracker.list_stopped(now, takeover_wait)
 
     def test_waits_from_the_time_a_majority_knows(self):
-        # Taken over too early, the old owner still holds a grant that a
-        # member renewed who had not heard of the release: two answers.
+        # If the shard is taken over too early, the previous owner may still
+        # hold a grant renewed by a member that does not know of the
+        # release, and two upstreams serve the shard.
         self.follow()
-        self.tell(10.0, A)
+        self.record(10.0, A)
         self.assertEqual({}, self.stopped(100.0))
-        self.tell(10.4, B)
+        self.record(10.4, B)
         self.assertEqual({}, self.stopped(11.3))
         self.assertEqual({KEY: Epoch(2)}, self.stopped(11.4))
 
     def test_member_with_older_revision_is_not_told(self):
         self.follow()
-        self.tell(10.0, A)
-        self.tell(10.0, B, revision=4)
+        self.record(10.0, A)
+        self.record(10.0, B, revision=4)
         self.assertEqual({}, self.stopped(100.0))
 
     def test_member_that_does_not_count_is_not_told(self):
-        # It restarted after hearing the release and could forget it again.
+        # It has restarted and may have lost its knowledge of the release.
         self.follow()
-        self.tell(10.0, A)
-        self.tell(10.0, B, counting=False)
+        self.record(10.0, A)
+        self.record(10.0, B, counting=False)
         self.assertEqual({}, self.stopped(100.0))
 
     def test_unchecked_upstream_waits_for_its_longest_request(self):
-        # It obeys a request sent just before its grant ran out, however
-        # late; the request's deadline has to pass as well.
+        # An upstream that does not check orders also runs a request that was
+        # sent just before its grant expired and arrives late, so the
+        # request's deadline has to pass as well.
         self.follow(longest=3.0)
-        self.tell(10.0, A)
-        self.tell(10.0, B)
+        self.record(10.0, A)
+        self.record(10.0, B)
         self.assertEqual({}, self.stopped(13.9))
         self.assertEqual({KEY: Epoch(2)}, self.stopped(14.0))
 
@@ -82,8 +84,8 @@
 
     def test_new_release_of_a_shard_begins_a_new_wait(self):
         self.follow()
-        self.tell(10.0, A)
-        self.tell(10.0, B)
+        self.record(10.0, A)
+        self.record(10.0, B)
         owned = self.released.complete(
             {KEY: U}, {KEY: Epoch(2)}, ChangeId("3")
         )
--- a/tests/core/ownership/test_holds.py
+++ b/tests/core/ownership/test_holds.py
@@ -1,4 +1,4 @@
-"""Tests of the bound of what each upstream may still hold."""
+"""Tests of the upper bounds on how long upstreams may hold keys."""
 
 import testtools
 
@@ -9,7 +9,7 @@
 
 
 class TestHoldLedger(testtools.TestCase):
-    """Every grant sent counts until it was released or has run out."""
+    """Every grant sent counts until it has been released or has expired."""
 
     def setUp(self):
         super().setUp()
@@ -29,7 +29,7 @@
         )
 
     def test_shorter_renewal_does_not_shorten(self):
-        # A renewal may be lost on its way; what was taken before holds on.
+        # The renewal may be lost, so the earlier grant still counts.
         self.holds.note_grant("u-1", KeyRange(0, 99), 110.0)
         self.holds.note_grant("u-1", KeyRange(0, 99), 104.0)
         self.assertEqual(
@@ -55,7 +55,7 @@
         )
 
     def test_inherited_orders_count_for_all(self):
-        # A new leader knows nothing of its predecessor's last grants.
+        # A new leader does not know the last grants of its predecessor.
         holds = HoldLedger(115.0)
         self.assertEqual(115.0, holds.find_hold_end("u-1", KeyRange(0, 9)))
         holds.note_release("u-1", KeyRange(0, 9))
@@ -72,10 +72,11 @@
             NEVER, self.holds.find_hold_end("u-1", KeyRange(0, 9))
         )
 
-    def test_closer_bound_of_what_was_inherited(self):
-        # The move was in the record long before this host began to lead:
-        # without the closer bound each new leader would begin the wait
-        # anew, and the keys stay dark as long as leaders are lost.
+    def test_tighter_bound_of_inherited_grants(self):
+        # The move was stored long before this host became the leader.
+        # Without the tighter bound each new leader would restart the wait,
+        # and with repeated losses of the leader the keys would stay
+        # unavailable.
         holds = HoldLedger(115.0)
         keys = KeyRange(0, 9)
         self.assertEqual(107.0, holds.find_hold_end("u-1", keys, 107.0))
--- a/tests/core/ownership/test_isolation.py
+++ b/tests/core/ownership/test_isolation.py
@@ -1,4 +1,4 @@
-"""Tests of what becomes of a key that is more than one upstream's work."""
+"""Tests of the isolation of keys that need more than one upstream."""
 
 import testtools
 
@@ -11,12 +11,12 @@
 
 
 class TestIsolation(testtools.TestCase):
-    """Two fifths of the callers ask for one key for some seconds.
+    """For some seconds two fifths of all requests are for one key.
 
-    Its upstream has work for ten. Other keys of the same upstream wait in
-    the same queue until they are refused, though every other upstream has
-    room; moving only what equals half of the difference moves nothing,
-    since all besides the hot key is far less than that.
+    This is the work of ten upstreams. Requests for other keys of the same
+    upstream wait in the same queue until they are refused, although all
+    other upstreams have free capacity. Moving half of the difference in load
+    moves nothing, because the other keys have far less load than that.
     """
 
     def setUp(self):
@@ -67,7 +67,7 @@
         self.assertEqual(self.table, self.balance(1))
 
     def test_few_upstreams_keep_what_they_have(self):
-        # With three upstreams one less for all other keys is too many.
+        # With three upstreams none can be reserved for a single key.
         names = self.names[:3]
         eligible = {name: EligibleUpstream(name, 2) for name in names}
         table = RangeTable().assign_first([(name, 2) for name in names])
--- a/tests/core/ownership/test_leadership.py
+++ b/tests/core/ownership/test_leadership.py
@@ -1,4 +1,4 @@
-"""Tests of the proof that a host may give orders."""
+"""Tests of the proof that a host may send orders."""
 
 import testtools
 
@@ -13,7 +13,7 @@
 
 
 class TestLeadership(testtools.TestCase):
-    """Proofs by reads of the own record, and their ages."""
+    """Proofs by reads of the leader's own record, and their ages."""
 
     def setUp(self):
         super().setUp()
@@ -30,24 +30,24 @@
         self.assertFalse(self.leadership.may_order(100.0 + life))
 
     def test_read_counts_from_before_it_was_sent(self):
-        # The read takes a second to come back. Counted from its return,
-        # the host would go on a second longer than its successor waits,
-        # and a grant of each would be held at once.
+        # The read takes a second. If the proof counted from its return, the
+        # host would send orders for a second longer than its successor
+        # waits, and upstreams could hold grants of both.
         self.lead(100.0)
         self.leadership.note_read(TERM, 101.0)
         end = 101.0 + self.durations.proof_life
         self.assertFalse(self.leadership.may_order(end))
 
     def test_record_taken_away_ends_it_at_once(self):
-        # The store drops the record and renews the lease all the same; the
-        # read finds another's record, or none.
+        # The store removes the record but still renews the lease. The read
+        # finds the record of another host, or none.
         for found in (NO_POSITION, Position(0, 9)):
             self.lead(100.0)
             self.assertFalse(self.leadership.note_read(found, 100.5))
             self.assertFalse(self.leadership.may_order(100.6))
 
     def test_return_of_the_store_ends_all_proofs(self):
-        # Guards against a record of before that the copy shows as well.
+        # A restored backup may still contain the record of the past era.
         self.lead(100.0)
         self.leadership.note_era(1)
         self.assertTrue(self.leadership.era_ended)
@@ -57,14 +57,14 @@
         self.assertFalse(self.leadership.may_order(end))
 
     def test_grants_bridge_the_return_of_the_store(self):
-        # Guards against keys that are dark until the next leader grants.
+        # Otherwise keys are unavailable until the next leader grants them.
         self.lead(100.0)
         self.leadership.note_era(1)
         self.assertFalse(self.leadership.is_fresh(100.1))
         hold = self.leadership.choose_hold(100.1)
         self.assertEqual(self.durations.long_hold, hold)
 
-    def test_next_term_is_not_outlived(self):
+    def test_next_term_is_of_the_new_era(self):
         self.lead(100.0)
         self.leadership.note_era(1)
         self.leadership.begin(Position(1, 3), 103.0, 103.0)
@@ -78,8 +78,8 @@
         self.assertFalse(self.leadership.may_order(101.0))
 
     def test_suspended_host_gives_no_order(self):
-        # The host stands still for a minute between two steps; its clock
-        # runs on meanwhile, so the first look at it shows the old proof.
+        # The host is suspended for a minute. Its clock keeps running, so
+        # the next check finds that the proof has expired.
         self.lead(100.0)
         self.assertFalse(self.leadership.may_order(160.0))
 
@@ -91,9 +91,9 @@
         self.assertEqual(self.durations.long_hold, hold)
 
     def test_missed_proof_ends_what_others_rely_on(self):
-        # The store turns away the leader and nobody else, and takes its
-        # record away. It may order until its proof ends; but fed by it, all
-        # hosts would miss a change of routes for as long.
+        # The store refuses only the leader and removes its record. The
+        # leader may send orders until its proof expires, but hosts that
+        # relied on its updates would miss configuration changes meanwhile.
         self.lead(100.0)
         due = 100.0 + 2 * self.durations.verify
         self.assertTrue(self.leadership.is_fresh(due - 0.01))
@@ -102,9 +102,10 @@
         self.assertFalse(Leadership(self.durations).is_fresh(100.0))
 
     def test_host_turned_away_gives_up(self):
-        # The store turns this host away and serves the others, one of which
-        # leads by now. Nothing tells this host; it must not go on calling
-        # itself the leader, since a leader takes no news from others.
+        # The store refuses only this host, and another one has become the
+        # leader. This host learns nothing of it, but must not consider
+        # itself the leader any longer, because a leader accepts no updates
+        # from others.
         self.lead(100.0)
         end = 100.0 + self.durations.proof_life + self.durations.lease
         self.assertFalse(self.leadership.is_certainly_lost(end - 0.01))
@@ -113,9 +114,9 @@
         self.assertFalse(self.leadership.is_certainly_lost(end))
 
     def test_successor_outwaits_the_last_order(self):
-        # The predecessor's record is taken away right after its last read.
-        # It orders until its proof ends, with the longest hold; an
-        # upstream's clock runs slow. Only then is nothing of it held.
+        # The predecessor's record is removed right after its last read. It
+        # sends orders with the longest hold until its proof expires, and an
+        # upstream's clock runs slow. The successor has to wait until then.
         durations = self.durations
         self.lead(100.0)
         last_order = 100.0 + durations.proof_life
@@ -130,8 +131,8 @@
 
     def test_order_of_an_earlier_term_is_not_sent(self):
         # This host leads, loses its record, and leads again. An order of
-        # the first term was about to be sent all the while; the leader in
-        # between has given its range to another.
+        # its first term is still to be sent, but the leader in between has
+        # moved the range to another upstream.
         durations = Durations()
         leadership = Leadership(durations)
         leadership.begin(TERM, 100.0, 100.0)
--- a/tests/core/ownership/test_leasing.py
+++ b/tests/core/ownership/test_leasing.py
@@ -1,4 +1,4 @@
-"""Tests of one keeper's authorization towards one upstream."""
+"""Tests of one keeper's authority over one upstream."""
 
 import testtools
 
@@ -22,19 +22,21 @@
 OWNED = EMPTY_ASSIGNMENT.assign_first({KEY: U}, ChangeId("1"))
 RELEASED = OWNED.release([KEY], ChangeId("2"))
 LATE = 1e9
-ME, OTHER = "k1/1", "k2/1"
+OWN_ORDERER, OTHER_ORDERER = "k1/1", "k2/1"
 
 
 class UpstreamLeaseTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.first = {OTHER}
+        self.first = {OTHER_ORDERER}
         self.lease = UpstreamLease(
-            U, ME, True, Timing(), self.first.__contains__, 0.0
+            U, OWN_ORDERER, True, Timing(), self.first.__contains__, 0.0
         )
         self.lease.update(Authorization(OWNED, 100.0))
 
-    def answer(self, now, orderer=ME, held=0.5, incarnation="a", **fields):
+    def answer(
+        self, now, orderer=OWN_ORDERER, held=0.5, incarnation="a", **fields
+    ):
         token = Token(str(now), now, now, incarnation)
         call = self.lease.next_call(now)
         answer = ControlAnswer(token, orderer, held, **fields)
@@ -70,23 +72,24 @@
         self.assertIs(ControlCallKind.STATUS, self.lease.next_call(1.3).kind)
 
     def test_leaves_an_upstream_to_the_keeper_that_comes_first(self):
-        # Two keepers, cut off from each other, both reach the upstream. If
-        # both gave orders by turns it would refuse the requests of both.
-        self.answer(1.0, OTHER, held=0.3)
+        # Two keepers that are cut off from each other both reach the
+        # upstream. If they alternately overrode each other's orders, the
+        # upstream would refuse the requests of both.
+        self.answer(1.0, OTHER_ORDERER, held=0.3)
         self.assertIs(Reason.NOT_KEEPER, self.obstacle(1.0))
         self.assertIs(ControlCallKind.STATUS, self.lease.next_call(1.1).kind)
-        self.answer(1.5, OTHER, held=0.0)
+        self.answer(1.5, OTHER_ORDERER, held=0.0)
         self.assertIs(ControlCallKind.GRANT, self.lease.next_call(1.5).kind)
 
-    def test_orders_of_another_end_the_tenure(self):
+    def test_orders_of_another_keeper_are_reported(self):
         self.grant(1.0)
         self.first.clear()
         self.assertEqual(
-            (ControlCallKind.GRANT, True), self.answer(1.1, OTHER)
+            (ControlCallKind.GRANT, True), self.answer(1.1, OTHER_ORDERER)
         )
 
     def test_request_that_runs_is_let_end_before_a_release(self):
-        # A planned move must cut no request.
+        # A planned move must not interrupt a running request.
         self.grant(1.0)
         self.lease.begin_request(KEY)
         self.lease.update(Authorization(RELEASED, 100.0))
@@ -104,7 +107,7 @@
         self.assertEqual({KEY: 2}, self.lease.list_released())
 
     def test_unchecked_upstream_is_not_asked_to_release(self):
-        # It would take a late renewal after its confirmation.
+        # It could accept a late renewal after confirming the release.
         self.grant(1.0)
         self.lease.checks_orders = False
         self.lease.update(Authorization(RELEASED, 100.0))
--- a/tests/core/ownership/test_ranges.py
+++ b/tests/core/ownership/test_ranges.py
@@ -1,4 +1,4 @@
-"""Tests of the table of owners of one service's keys."""
+"""Tests of the range table of one service."""
 
 from hypothesis import given
 from hypothesis import strategies
@@ -27,9 +27,9 @@
 
 
 class TestRangeTable(testtools.TestCase):
-    """The invariants that the aggregate keeps by itself."""
+    """Invariants maintained by the table."""
 
-    def check_whole(self, table):
+    def check_invariants(self, table):
         low = 0
         for tenure in table.tenures:
             self.assertEqual(low, tenure.low)
@@ -40,7 +40,7 @@
 
     def test_first_owners_share_all_keys(self):
         table = make_table()
-        self.check_whole(table)
+        self.check_invariants(table)
         self.assertEqual("u-1", table.find(0).owner)
         self.assertEqual("u-3", table.find(LAST_KEY).owner)
 
@@ -70,8 +70,9 @@
         self.assertRaises(RuleError, make_table().begin, wide)
 
     def test_overtaken_completion_changes_nothing(self):
-        # A leader's word of an ended move comes after the range has moved
-        # on. Taken as it is, it would give the keys to two upstreams.
+        # The completion of a move arrives after the range has started to
+        # move again. Applied nevertheless, it would give the keys to two
+        # upstreams.
         first = make_table().begin([Move(KeyRange(10, 20), "u-3")])
         ended = first.find(15)
         second = first.complete([ended]).begin([Move(KeyRange(10, 20), "u-2")])
@@ -86,24 +87,25 @@
                 table = table.begin([move])
             except RuleError:
                 continue
-            self.check_whole(table)
+            self.check_invariants(table)
             table = table.complete(table.list_moving()[:1])
-            self.check_whole(table)
+            self.check_invariants(table)
             for tenure in table.tenures:
-                # A fence never serves a second owner on the same keys.
+                # A fence is never used for two owners of the same keys.
                 place = (tenure.low, tenure.fence)
                 holder = tenure.successor or tenure.owner
                 self.assertEqual(holder, owners.setdefault(place, holder))
         self.assertEqual(table, decode_ranges(encode_ranges(table)))
 
     def test_neighbours_of_one_owner_are_joined_at_a_new_fence(self):
-        # Busy keys were cut out and have come back to their first owner.
-        # Left apart, the pieces fill the table until no move has room.
+        # Busy keys were split off and have returned to their first owner.
+        # Unless joined, the ranges fill the table until no further move is
+        # possible.
         table = make_table().begin([Move(KeyRange(10, 20), "u-1")])
         table = table.complete(table.list_moving())
         self.assertEqual(5, len(table.tenures))
         merged = table.merge()
-        self.check_whole(merged)
+        self.check_invariants(merged)
         self.assertEqual(3, len(merged.tenures))
         self.assertEqual(table.fence + 1, merged.find(0).fence)
         self.assertEqual(1, merged.find(LAST_KEY).fence)
--- a/tests/core/ownership/test_recovery.py
+++ b/tests/core/ownership/test_recovery.py
@@ -1,4 +1,4 @@
-"""Tests of what is over before the first grant of an era of the store."""
+"""Tests of the conditions for the first grant of an era of the store."""
 
 import testtools
 
@@ -13,14 +13,14 @@
 
 
 class TestRecovery(testtools.TestCase):
-    """Everyone has given back all keys, or time has passed."""
+    """All upstreams have released their keys, or all grants have expired."""
 
     def setUp(self):
         super().setUp()
         self.recovery = Recovery(settled_at=102.0, grants_expire_at=110.0)
 
     def test_all_that_may_hold_keys_are_asked(self):
-        # Guards against a key that an upstream was granted in lost seconds.
+        # An upstream may have been granted keys by writes that were lost.
         self.assertEqual(
             list(BOTH), self.recovery.list_pending_releases(BOTH, 102.0)
         )
@@ -33,7 +33,7 @@
         self.assertTrue(self.recovery.is_over(BOTH, 103.0))
 
     def test_nobody_is_asked_before_all_are_registered_again(self):
-        # Guards against a young upstream that the copy does not show yet.
+        # The backup may lack an upstream that has started recently.
         self.assertEqual([], self.recovery.list_pending_releases(BOTH, 101.9))
         self.assertFalse(self.recovery.is_over((), 101.9))
 
@@ -50,10 +50,10 @@
 
 
 class TestFirstFence(testtools.TestCase):
-    """Fences of an era are above all those of earlier ones."""
+    """Fences of an era are higher than all fences of earlier ones."""
 
     def test_later_era_has_higher_fences(self):
-        # Guards against a fence that was given to somebody else before.
+        # A fence must not be issued again to another owner.
         moved = 4 * 10**9
         self.assertEqual(0, find_first_fence(0))
         for era in (0, 1, 2**31 - 2):
@@ -63,7 +63,7 @@
 
 
 class TestRestart(testtools.TestCase):
-    """The table with which an era begins."""
+    """The range table at the beginning of an era."""
 
     def setUp(self):
         super().setUp()
@@ -85,7 +85,7 @@
         self.assertEqual([], began.list_moving())
 
     def test_ranges_of_those_that_are_gone_are_spread(self):
-        # Guards against keys that wait for the end of an owner that has none.
+        # Keys must not wait for an owner that is gone to stop.
         began = self.table.restart(90, {"b", "d"})
         self.assertEqual("b", began.find(self.table.tenures[1].low).owner)
         self.assertEqual({"b", "d"}, {each.owner for each in began.tenures})
