--- a/tests/core/ownership/test_smoothing.py
+++ b/tests/core/ownership/test_smoothing.py
@@ -1,4 +1,4 @@
-"""Replays of load on many upstreams: which moves it is worth."""
+"""Simulations of load on many upstreams and the moves planned for it."""
 
 import random
 
@@ -16,25 +16,25 @@
 
 SERVICE = "map"
 SLOTS = 2
-# Of the upstreams' slots, all together.
-BUSY = 0.6
-WORK = 0.2
-# Of the time that a request takes: lognormal, as callers see it.
+# Mean utilization of the slots of all upstreams.
+UTILIZATION = 0.6
+REQUEST_TIME = 0.2
+# Standard deviation of the logarithm of the response time (lognormal).
 SPREAD = 0.5
-REPORT = 0.4
-# Balance is looked at with each second report.
-REPORTS_EACH = 2
+REPORT_INTERVAL = 0.4
+# Load is balanced with every second report.
+REPORTS_PER_ROUND = 2
 
 
 class Replay:
-    """Hosts' reports, the leader's plan, and moves that arrive at once.
+    """Simulates load reports, planning, and moves that complete at once.
 
     Parameters
     ----------
     count : int
-        Upstreams.
+        Number of upstreams.
     speeds : tuple of float
-        Given to them in turn.
+        Relative speeds, assigned to the upstreams in turn.
     """
 
     def __init__(self, count, speeds=(1.0,), seed=1):
@@ -44,22 +44,22 @@
             name: speeds[index % len(speeds)]
             for index, name in enumerate(self.names)
         }
-        self.rate = BUSY * SLOTS * count / WORK
-        self.book = LoadTracker()
+        self.rate = UTILIZATION * SLOTS * count / REQUEST_TIME
+        self.tracker = LoadTracker()
         self.table = RangeTable().assign_first(
             [(name, SLOTS) for name in self.names]
         )
         self.now = 100.0
         self.moves = 0
         self.moved = 0.0
-        # Share of all requests, first key, number of keys.
+        # Hot keys: share of all requests, first key, number of keys.
         self.hot = (0.0, 0, 1)
 
     def run(self, seconds):
-        for turn in range(int(seconds / REPORT)):
-            self.now += REPORT
+        for turn in range(int(seconds / REPORT_INTERVAL)):
+            self.now += REPORT_INTERVAL
             self._report()
-            if turn % REPORTS_EACH:
+            if turn % REPORTS_PER_ROUND:
                 self._balance()
         return self
 
@@ -73,20 +73,20 @@
         work = {}
         seen = {}
         at = self._random.expovariate(self.rate)
-        while at < REPORT:
+        while at < REPORT_INTERVAL:
             key = self._draw_key()
-            work[key] = work.get(key, 0.0) + WORK
+            work[key] = work.get(key, 0.0) + REQUEST_TIME
             owner = self.table.find(key).owner
             answers, slowness = seen.get(owner, (0, 0.0))
             taken = self._random.lognormvariate(-(SPREAD**2) / 2, SPREAD)
             slowness += taken / self.speeds[owner]
             seen[owner] = (answers + 1, slowness)
             at += self._random.expovariate(self.rate)
-        self.book.note_keys(
+        self.tracker.note_keys(
             [KeyWork(SERVICE, key, each) for key, each in work.items()],
             self.now,
         )
-        self.book.note_upstreams(
+        self.tracker.note_upstreams(
             [UpstreamWork(name, *each) for name, each in seen.items()],
             self.now,
         )
@@ -94,12 +94,12 @@
     def _balance(self):
         eligible = {
             name: EligibleUpstream(
-                name, SLOTS, self.book.find_slowness(name, self.now)
+                name, SLOTS, self.tracker.find_slowness(name, self.now)
             )
             for name in self.names
         }
-        views = self.book.list_views(SERVICE, self.now)
-        rates = smooth_rates(views, self.table.tenures)
+        estimates = self.tracker.list_views(SERVICE, self.now)
+        rates = smooth_rates(estimates, self.table.tenures)
         moves = plan_balance(
             self.table, eligible, rates, max_concurrent_moves(len(eligible))
         )
@@ -111,7 +111,7 @@
 
     @property
     def unserved(self):
-        """Share of the requests that are more than their upstreams' work."""
+        """Share of the requests that exceed the capacity of upstreams."""
         share, first, count = self.hot
         asked = dict.fromkeys(self.names, 0.0)
         for tenure in self.table.tenures:
@@ -122,27 +122,32 @@
             asked[tenure.owner] += usual + hot
         unserved = 0.0
         for name, each in asked.items():
-            busy = each * self.rate * WORK / SLOTS / self.speeds[name]
+            busy = each * self.rate * REQUEST_TIME / SLOTS / self.speeds[name]
             unserved += each * max(0.0, 1 - 1 / busy)
         return unserved
 
     def find_busiest(self):
-        """Return the busiest of all upstreams, in shares of its slots."""
+        """Return the utilization of the busiest upstream."""
         asked = dict.fromkeys(self.names, 0)
         for tenure in self.table.tenures:
             asked[tenure.owner] += len(tenure.keys)
         return max(
-            keys / KEY_COUNT * self.rate * WORK / SLOTS / self.speeds[name]
+            keys
+            / KEY_COUNT
+            * self.rate
+            * REQUEST_TIME
+            / SLOTS
+            / self.speeds[name]
             for name, keys in asked.items()
         )
 
 
-class TestChance(testtools.TestCase):
+class TestRandomLoad(testtools.TestCase):
     """Equal upstreams under a steady load.
 
-    Callers see keys that are dark for a moment and cold requests after it,
-    all day: an upstream was asked for a dozen requests in what is remembered,
-    so chance alone makes some seem overloaded, and keys move back and forth.
+    The averages cover about a dozen requests per upstream, so by chance some
+    upstreams seem overloaded. If keys moved back and forth because of this,
+    they would be briefly unavailable and then cold, all day.
     """
 
     def test_steady_load_moves_next_to_nothing(self):
@@ -153,24 +158,24 @@
 
 
 class TestLastingDifferences(testtools.TestCase):
-    """Upstreams of different speeds, as most deployments have them."""
+    """Upstreams of different speeds, as in most deployments."""
 
     def test_slow_ones_are_relieved_with_few_moves(self):
-        # An even division gives the slow ones their full time of work.
+        # An even distribution would fully utilize the slow ones.
         replay = Replay(200, (0.6, 1.0, 1.4)).run(20)
         self.assertLess(replay.find_busiest(), 0.95)
         self.assertLess(replay.moved, 0.3)
-        # Each range is renewed for itself, so pieces cost as long as they
-        # last: two for an upstream, where slivers left behind made 2.6.
+        # Each range costs a renewal of its own. There are about two ranges
+        # per upstream; with slivers left behind by moves there were 2.6.
         self.assertLess(len(replay.table.tenures), 420)
 
 
 class TestSuddenLoad(testtools.TestCase):
     def test_run_of_hot_keys_is_spread_in_two_seconds(self):
-        """A quarter of all requests asks for 200 neighbouring keys.
+        """A quarter of all requests is for 200 adjacent keys of one upstream.
 
-        That is the work of 40 upstreams, and the keys lie at one. Its
-        callers are refused until the keys are spread.
+        This is the work of 40 upstreams. Requests are refused until the
+        keys have been spread.
         """
         replay = Replay(188, (0.6, 1.0, 1.4)).run(15)
         replay.hot = (0.26, 777, 200)
@@ -181,10 +186,10 @@
         self.assertLess(replay.unserved, 0.01)
 
     def test_one_hot_key_stays_where_it_is(self):
-        """One key is more than any upstream's work.
+        """One key has more load than any upstream can handle.
 
-        Whoever owns it is overloaded, and each move makes its callers wait
-        for the next owner: it may go to a faster one, once.
+        Any owner is overloaded, and each move makes callers wait for the
+        next owner, so the key may move only once, to a faster upstream.
         """
         replay = Replay(188, (0.6, 1.0, 1.4)).run(15)
         replay.hot = (0.02, 777, 1)
@@ -195,9 +200,9 @@
         self.assertLessEqual(len(owners), 2)
 
     def test_upstreams_that_turn_slow_lose_keys_soon(self):
-        """A seventh of the upstreams takes five times as long.
+        """A seventh of the upstreams becomes five times slower.
 
-        Each then has three times the work that it can do.
+        Each of them then has three times the load that it can handle.
         """
         replay = Replay(188).run(15)
         for name in replay.names[::7]:
