--- a/sedgetide/core/membership/__init__.py
+++ b/sedgetide/core/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is registered, and who is here."""
+"""Registered upstreams, members of data centres and their liveness."""
--- a/sedgetide/core/membership/directory.py
+++ b/sedgetide/core/membership/directory.py
@@ -1,4 +1,4 @@
-"""Upstreams that register and leave by themselves."""
+"""Directory of upstreams that register and deregister themselves."""
 
 from collections.abc import Collection
 from collections.abc import Iterable
@@ -15,39 +15,40 @@
 from sedgetide.core.membership.incarnations import name_incarnation
 from sedgetide.core.membership.incarnations import UNKNOWN_BIRTH
 
-# A registry that comes back has all live entries again within this time.
+# Seconds. Live upstreams renew their entries within this time after an outage
+# of the registry.
 RETURN_GRACE = 2.3
-# A lost upstream's entry lapses within this time.
+# Seconds within which the entry of a lost upstream expires.
 _FOREIGN_LIFE = 3.0
-# Seconds; within them an entry has lapsed that nobody renews.
-_REVIVED_LIFE = 4.0
-# Upstreams that were ever seen, kept to know late entries of old starts: an
-# entry outlives its upstream by seconds, and 4,000 starts are more than any
-# deployment sees in that time, at 200 bytes each.
-_MOST_SEEN = 4000
+# Seconds after which an entry that is not renewed has certainly expired.
+_RESTORED_LIFE = 4.0
+# Maximum number of incarnations remembered in order to recognize late entries
+# of old ones. An entry outlives its upstream by seconds, and no deployment
+# sees 4,000 starts in that time. Each one takes 200 bytes.
+_MAX_REMEMBERED = 4000
 
 
 class RegisteredUpstream(msgspec.Struct, frozen=True):
-    """One start of an upstream's process.
+    """Registry entry of one incarnation of an upstream.
 
     Parameters
     ----------
     registered_name : UpstreamName
-        Name in the registry; another start may come under the same.
+        Name in the registry; a later incarnation may use the same name.
     service : ServiceName
-        Service it belongs to.
+        Service of the upstream.
     address : str
-        ``IP:port``.
+        Address as ``IP:port``.
     data_centre : DataCentre
-        Where it runs.
+        Data centre of the upstream.
     slots : int
-        Requests it works on at a time.
+        Number of requests that the upstream processes concurrently.
     leaving : bool
-        Whether it has announced its end.
+        Whether the upstream has announced that it is about to stop.
     warmup : float
-        Seconds for which it is still slow.
+        Seconds for which the upstream is still slow.
     born : StartTime
-        Which start of the upstream this is.
+        Start time of this incarnation.
     """
 
     registered_name: UpstreamName
@@ -61,28 +62,27 @@
 
     @property
     def name(self) -> IncarnationName:
-        """Name of this start, unlike that of any other."""
+        """Unique name of this incarnation."""
         return name_incarnation(self.registered_name, self.born)
 
 
 class UpstreamDirectory:
-    """Upstreams as the registry shows them, and when to believe it.
+    """Upstreams known from the registry, tolerant of its outages.
 
-    An entry that disappears while the registry is disturbed need not mean
-    that its upstream is gone: the registry may have let it lapse while
-    nobody could renew it. Taking its keys away at once would stop a whole
-    fleet after each outage, so such an entry stays for a grace period
-    after the registry is back.
+    An entry that disappears during an outage of the registry does not imply
+    that its upstream is gone: it may have expired because it could not be
+    renewed. Moving the keys at once would interrupt all upstreams after each
+    outage, so such an entry is kept for a grace period after the outage.
 
-    An upstream that starts again under its name is another incarnation,
-    and an entry of an older one that arrives late changes nothing.
+    An upstream that restarts under its name is a new incarnation; late
+    entries of older incarnations are ignored.
 
     Parameters
     ----------
     grace : float
-        Seconds for which entries may be missing after the return.
+        Seconds after an outage for which missing entries are kept.
     evacuations : Evacuations or None
-        Data centres that get no new work; none of them when None.
+        Data centres that get no new work; no evacuations if None.
     """
 
     def __init__(
@@ -101,30 +101,30 @@
         self._unreadable: set[IncarnationName] = set()
         self._foreign: dict[IncarnationName, float] = {}
         self._announced: dict[IncarnationName, None] = {}
-        self._revived: dict[IncarnationName, float] = {}
-        self._disturbed_until = float("-inf")
+        self._restored: dict[IncarnationName, float] = {}
+        self._outage_until = float("-inf")
         self.changed_at = float("-inf")
 
     def note_registry_outage(
         self, now: float, seconds: float | None = None
     ) -> None:
-        """Take in that the registry gave no usable answer just now.
+        """Record that the registry gave no usable answer.
 
         Parameters
         ----------
         seconds : float or None
-            For how long missing entries are not believed; the grace when
+            Seconds for which missing entries are kept; the grace period if
             None.
         """
         until = now + (self._grace if seconds is None else seconds)
-        self._disturbed_until = max(self._disturbed_until, until)
+        self._outage_until = max(self._outage_until, until)
 
     def begin_era(self, now: float) -> None:
-        """Take in that the registry has come back from an older copy.
+        """Record that the registry was restored from a backup.
 
-        What it shows from then on may be older than what is known: entries
-        of young upstreams are missing until these have written them again,
-        and who had said that it leaves is shown as ready.
+        It may now be older than what is known: entries of recently started
+        upstreams are missing until they register again, and upstreams that
+        had announced that they leave appear ready.
         """
         self.note_registry_outage(now)
         for name, entry in self._entries.items():
@@ -132,20 +132,21 @@
                 self._announced[name] = None
 
     def find_outage_grace(self, now: float) -> float:
-        """Return for how long missing entries are not believed yet."""
-        return max(0.0, self._disturbed_until - now)
+        """Return for how many more seconds missing entries are kept."""
+        return max(0.0, self._outage_until - now)
 
     def put(
         self, entry: RegisteredUpstream, now: float, from_backup: bool = False
     ) -> None:
-        """Take in an entry, unless a later start of its upstream is known.
+        """Record an entry unless a later incarnation is known.
 
         Parameters
         ----------
-        copied : bool
-            Whether a copy shows it, from which the registry has come back.
-            An upstream that had gone by then counts as leaving until its
-            entry must have lapsed, unless it changes its entry.
+        from_backup : bool
+            Whether the entry comes from a backup from which the registry
+            was restored. An upstream that had already gone then counts as
+            leaving until its entry must have expired, unless it changes
+            its entry.
         """
         known = self._born.get(entry.registered_name, UNKNOWN_BIRTH)
         if entry.born == UNKNOWN_BIRTH != known:
@@ -157,7 +158,7 @@
         former = self._current.get(entry.registered_name)
         if former is not None and former != name:
             self._drop(former, now)
-        self._note_revived(name, from_backup, now)
+        self._note_restored(name, from_backup, now)
         self._note_seen(entry, now)
         if entry.warmup > 0:
             self._cold_until[name] = now + entry.warmup
@@ -171,14 +172,14 @@
         self._current[entry.registered_name] = name
         self.changed_at = now
 
-    def _note_revived(
+    def _note_restored(
         self, name: IncarnationName, from_backup: bool, now: float
     ) -> None:
         gone = name in self._first_seen and name not in self._entries
         if from_backup and gone:
-            self._revived[name] = now + _REVIVED_LIFE
+            self._restored[name] = now + _RESTORED_LIFE
         elif not from_backup:
-            self._revived.pop(name, None)
+            self._restored.pop(name, None)
 
     def _note_seen(self, entry: RegisteredUpstream, now: float) -> None:
         self._born[entry.registered_name] = entry.born
@@ -187,11 +188,11 @@
         _forget_oldest(self._first_seen, self._entries)
 
     def mark_unreadable(self, upstream: UpstreamName, now: float) -> None:
-        """Take in that an upstream's entry says nothing that can be used.
+        """Record that an upstream's entry cannot be interpreted.
 
-        Whoever wrote it, it names no upstream to send work to. What was
-        known may still run and hold keys, so it counts as leaving, not as
-        gone: its keys move once it has given them back.
+        The entry provides no upstream to send work to. The upstream known
+        before may still run and hold keys, so it counts as leaving rather
+        than gone: its keys move once it has released them.
         """
         name = self._current.get(upstream)
         if name is None or name in self._unreadable:
@@ -200,13 +201,13 @@
         self.changed_at = now
 
     def remove(self, upstream: UpstreamName, now: float) -> None:
-        """Take in that an entry has disappeared."""
+        """Record that an entry has disappeared."""
         name = self._current.get(upstream)
         if name is None:
             return
         entry = self._entries[name]
-        expected = entry.leaving or name in self._revived
-        if now < self._disturbed_until and not expected:
+        expected = entry.leaving or name in self._restored
+        if now < self._outage_until and not expected:
             self._missing.add(name)
             return
         self._drop(name, now)
@@ -214,7 +215,7 @@
     def replace(
         self, upstreams: Iterable[RegisteredUpstream], now: float
     ) -> None:
-        """Take in the whole registry, after its history was lost."""
+        """Replace all entries after the registry's history was lost."""
         present = {each.registered_name: each for each in upstreams}
         for upstream in list(self._current):
             if upstream not in present:
@@ -223,47 +224,48 @@
             self.put(each, now)
 
     def expire(self, now: float) -> bool:
-        """Take in that time has passed; return whether it changed anything.
+        """Apply expired deadlines; return whether anything changed.
 
-        Entries whose grace is over are dropped. Upstreams that had gone, and
-        whose entries a copy shows and nobody took away since, are back: a
-        live one need not change its entry for it.
+        Missing entries are dropped at the end of the grace period. An
+        upstream whose entry reappeared from a backup is considered running
+        if the entry has not been removed since, because a running upstream
+        need not change its entry.
         """
-        back = [name for name, end in self._revived.items() if end <= now]
+        back = [name for name, end in self._restored.items() if end <= now]
         for name in back:
-            del self._revived[name]
+            del self._restored[name]
             self.changed_at = now
-        if now < self._disturbed_until or not self._missing:
+        if now < self._outage_until or not self._missing:
             return bool(back)
         for name in list(self._missing):
             self._drop(name, now)
         return True
 
     def note_foreign(self, name: IncarnationName, now: float) -> None:
-        """Take in that another upstream answered at an entry's address.
+        """Record that another upstream answered at an entry's address.
 
-        A lost upstream stands in the registry until its entry lapses, and
-        its address may be given away before. Whoever has it now refuses
-        everything within a millisecond, so that it seems the fastest of
-        all and would get every request and every retry.
+        The entry of a lost upstream remains until it expires, and its
+        address may be reused earlier. The new process at that address
+        refuses everything within a millisecond, so it would appear to be
+        the fastest upstream and attract every request and retry.
         """
         self._foreign[name] = now + _FOREIGN_LIFE
 
     def is_foreign(self, name: IncarnationName, now: float) -> bool:
-        """Tell whether another upstream answered at its address lately."""
+        """Return whether another upstream recently answered at its address."""
         return now < self._foreign.get(name, float("-inf"))
 
     def note_leaving(self, name: IncarnationName) -> bool:
-        """Take in an upstream's own word that it is about to end.
+        """Record an upstream's own announcement that it is about to stop.
 
-        It holds for good, also against newer entries: those that show the
-        upstream ready were written before, or by a writer that does not
-        know yet.
+        The announcement is final and overrides newer entries: an entry that
+        shows the upstream ready was written earlier, or by a writer that
+        does not know of the announcement yet.
 
         Returns
         -------
         bool
-            Whether it is news.
+            Whether the announcement was not known before.
         """
         if name in self._announced:
             return False
@@ -272,21 +274,21 @@
         return True
 
     def list_announced(self) -> list[IncarnationName]:
-        """Return the registered upstreams that said themselves they leave."""
+        """Return the registered upstreams that announced that they leave."""
         return sorted(self._announced.keys() & self._entries.keys())
 
     def is_leaving(self, name: IncarnationName) -> bool:
-        """Tell whether an upstream has announced its end in any way."""
+        """Return whether an upstream is known to be leaving."""
         entry = self._entries.get(name)
         if entry is not None and entry.leaving:
             return True
-        return name in self._announced or name in self._revived
+        return name in self._announced or name in self._restored
 
     def _drop(self, name: IncarnationName, now: float) -> None:
         self._foreign.pop(name, None)
         self._cold_until.pop(name, None)
         self._missing.discard(name)
-        self._revived.pop(name, None)
+        self._restored.pop(name, None)
         self._unreadable.discard(name)
         entry = self._entries.pop(name, None)
         if (
@@ -297,30 +299,31 @@
         self.changed_at = now
 
     def find(self, name: IncarnationName) -> RegisteredUpstream | None:
-        """Return an entry, or None when it is gone."""
+        """Return an entry, or None if it is gone."""
         return self._entries.get(name)
 
     def find_current(
         self, upstream: UpstreamName
     ) -> RegisteredUpstream | None:
-        """Return the entry of an upstream's last start, or None."""
+        """Return the entry of an upstream's latest incarnation, or None."""
         name = self._current.get(upstream)
         return None if name is None else self._entries[name]
 
     def is_cold(
-        self, entry: RegisteredUpstream, warming: float, now: float
+        self, entry: RegisteredUpstream, cold_time: float, now: float
     ) -> bool:
-        """Tell whether an upstream bears less than usual.
+        """Return whether an upstream is cold and handles less load.
 
         Parameters
         ----------
-        warming : float
-            Seconds for which upstreams of its service are cold once they
-            are. What comes back from an evacuation may be: its entry says
-            so up to two seconds later.
+        cold_time : float
+            Seconds for which a cold upstream of its service stays cold.
+            Upstreams count as cold for this time after an evacuation, since
+            they may be cold and their entries say so up to two seconds
+            later.
         """
         returned_at = self.evacuations.find_cancelled_at(entry.data_centre)
-        if now < returned_at + warming:
+        if now < returned_at + cold_time:
             return True
         return now < self._cold_until.get(entry.name, float("-inf"))
 
@@ -334,14 +337,14 @@
         return self._is_usable(entry) and not evacuated
 
     def find_active(self, name: IncarnationName) -> RegisteredUpstream | None:
-        """Return an entry that may get new work, or None."""
+        """Return the entry if it may get new work, otherwise None."""
         entry = self._entries.get(name)
         return entry if entry is not None and self._is_active(entry) else None
 
     def find_serving(
         self, name: IncarnationName, now: float
     ) -> RegisteredUpstream | None:
-        """Return an entry that may get requests for keys it owns, or None."""
+        """Return the entry if it may get requests for its keys, or None."""
         entry = self._entries.get(name)
         if entry is None or not self._is_usable(entry):
             return None
@@ -349,21 +352,21 @@
         return entry if may_serve else None
 
     def is_evacuated(self, name: IncarnationName) -> bool:
-        """Tell whether an upstream is to be emptied, and could serve."""
+        """Return whether a usable upstream is being evacuated."""
         entry = self._entries.get(name)
         if entry is None or not self._is_usable(entry):
             return False
         return self.evacuations.is_evacuating(entry.data_centre)
 
     def is_address_reused(self, name: IncarnationName, address: str) -> bool:
-        """Tell whether another upstream has taken over an address.
-
-        An address is given away only after the process that had it has
-        ended, so an entry that is gone while a younger one shows its
-        address is gone for good. An older one proves nothing: entries of
-        ended upstreams come back for seconds when a writer that was cut off
-        delivers them late, while the upstream that has the address now may
-        be cut off from the registry and serve.
+        """Return whether a newer upstream uses the address of a gone one.
+
+        An address is reused only after the previous process has ended, so
+        a newer entry with the same address proves that the upstream is
+        gone. An older entry proves nothing: a writer that was cut off may
+        deliver entries of ended upstreams late, for seconds, while the
+        upstream that now has the address may be cut off from the registry
+        and still serve.
         """
         if name in self._entries:
             return False
@@ -388,8 +391,8 @@
 
 
 def _forget_oldest(seen: dict[Any, Any], kept: Collection[Any]) -> None:
-    """Bound what is remembered of upstreams that are gone."""
-    if len(seen) <= _MOST_SEEN:
+    """Limit the number of entries remembered for upstreams that are gone."""
+    if len(seen) <= _MAX_REMEMBERED:
         return
     gone = [name for name in seen if name not in kept]
     for name in gone[: len(gone) // 2]:
--- a/sedgetide/core/membership/incarnations.py
+++ b/sedgetide/core/membership/incarnations.py
@@ -1,16 +1,17 @@
-"""Starts of an upstream that keeps its registered name.
+"""Incarnations: the processes that use one registered name in succession.
 
-A restarted process holds no keys and has seen no fence, so whatever is
-known of the start before it is wrong of it: grants, windows, failures. Two
-starts under one name are therefore two incarnations, and everything that
-is remembered of an upstream is remembered by incarnation.
+A restarted process holds no keys and has seen no fences, so the grants,
+windows and failures known of the previous process do not apply to it.
+Therefore each start is an incarnation of its own, and all state about
+upstreams is kept by incarnation.
 """
 
 from sedgetide.core.identifiers import IncarnationName
 from sedgetide.core.identifiers import StartTime
 from sedgetide.core.identifiers import UpstreamName
 
-# The registry does not tell starts apart: each has a name of its own.
+# Used with registries that do not report start times because each incarnation
+# registers under a name of its own.
 UNKNOWN_BIRTH = StartTime(0)
 _SEPARATOR = "@"
 
@@ -18,16 +19,16 @@
 def name_incarnation(
     upstream: UpstreamName, born: StartTime
 ) -> IncarnationName:
-    """Return the name of one start of an upstream.
+    """Return the name of one incarnation of an upstream.
 
     Parameters
     ----------
     upstream : UpstreamName
         Name in the registry.
     born : StartTime
-        When it started, by its own time of day. Only compared with other
-        starts of the same upstream, never with a clock: the time of day
-        jumps on some hosts.
+        Start time by the wall clock of the upstream. It is only compared
+        with other start times of the same upstream, never with a clock,
+        because the wall clocks of some hosts jump.
     """
     if born == UNKNOWN_BIRTH:
         return IncarnationName(upstream)
--- a/sedgetide/core/membership/lenders.py
+++ b/sedgetide/core/membership/lenders.py
@@ -1,4 +1,8 @@
-"""Which hosts lend places at upstreams; see core/requests/places.py."""
+"""Selection of the hosts that lend places at upstreams.
+
+A place is a permit to send a request to an upstream. A lender grants the
+places at an upstream to all hosts; see core/requests/places.py.
+"""
 
 import collections
 from collections.abc import Collection
@@ -13,31 +17,33 @@
 from sedgetide.core.membership.directory import RegisteredUpstream
 from sedgetide.core.membership.rendezvous import choose_candidate
 
-# Where fewer hosts send to an upstream than this for each of its slots, each
-# has requests there often enough to learn its share from the answers, and a
-# round trip for a place would buy nothing.
-_HOSTS_EACH_SLOT = 4
-_CROWDED_STILL = 0.5
-# Upstreams of two slots are asked for some six requests a second, three
-# messages each: 300 messages a second, under a tenth of a core.
-_UPSTREAMS_EACH = 16
-# Seconds; hosts report each 0.4 s, so three reports were missed.
-_SILENCE = 1.3
+# With fewer hosts per slot of an upstream, each host sends requests to it
+# often enough to learn its share from the answers, so a round trip for a place
+# would gain nothing.
+_HOSTS_PER_SLOT = 4
+_STOP_LENDING_FACTOR = 0.5
+# An upstream with two slots receives about six requests per second with three
+# messages each. This makes 300 messages per second and lender, which take less
+# than a tenth of a core.
+_UPSTREAMS_PER_LENDER = 16
+# Seconds; hosts report every 0.4 s, so three reports were missed.
+_REPORT_TIMEOUT = 1.3
 
 
 class HostStatus(msgspec.Struct, frozen=True, array_like=True):
-    """What a host says of itself with each report to the leader.
+    """Status of a host, sent with each report to the leader.
 
     Parameters
     ----------
     data_centre : DataCentre
-        Where it is.
+        Data centre of the host.
     processors : float
-        Cores' worth of time that it has; zero when it is about to stop.
+        Processor time available to the host, in cores; zero if it is about
+        to stop.
     lenders : int
-        Version of the list of lenders that it knows.
+        Version of the lender list that the host knows.
     quarantine : int
-        Version of its quarantine.
+        Version of the host's quarantine.
     """
 
     data_centre: DataCentre = DataCentre("")
@@ -52,9 +58,9 @@
     Parameters
     ----------
     link : LinkAddress
-        Where it is asked.
+        Address to which requests for places are sent.
     data_centre : DataCentre
-        Where it is: it lends places at the upstreams there.
+        Data centre at whose upstreams the host lends places.
     """
 
     link: LinkAddress
@@ -62,15 +68,15 @@
 
 
 class LenderList(msgspec.Struct, frozen=True, array_like=True):
-    """All hosts that lend places, as the leader names them.
+    """Hosts that lend places, as selected by the leader.
 
     Parameters
     ----------
     hosts : tuple of LendingHost
-        Who lends.
+        The lenders.
     rate_limited_only : bool
-        Whether places are lent only where so many requests a second are
-        borne, and hosts go by their own windows elsewhere.
+        Whether places are lent only at upstreams with a limited request
+        rate, while hosts use their own windows for all others.
     """
 
     hosts: tuple[LendingHost, ...] = ()
@@ -78,16 +84,17 @@
 
     @property
     def version(self) -> int:
-        """Number that equal lists have in common; zero for none."""
+        """Hash of the list; zero if it is empty."""
         if not self.hosts:
             return 0
         return xxhash.xxh32_intdigest(msgspec.msgpack.encode(self)) or 1
 
     def find(self, upstream: RegisteredUpstream) -> LinkAddress | None:
-        """Return who lends the places at an upstream; None: nobody.
+        """Return the lender of the places at an upstream, or None.
 
-        A lender in the upstream's own data centre is cut off together with
-        it, so that a cut never separates those who reach one of them.
+        A lender in the upstream's own data centre is preferred: a network
+        partition cuts off both together, so hosts that reach one of them
+        also reach the other.
         """
         near = [
             each.link
@@ -99,23 +106,24 @@
         return None if found is None else LinkAddress(found)
 
 
-class _Seen(msgspec.Struct):
-    standing: HostStatus
+class _ReportedStatus(msgspec.Struct):
+    status: HostStatus
     heard_at: float
 
 
 class LenderSelector:
-    """Hosts that report to the leader, and those of them that lend.
+    """Selects lenders among the hosts that report to the leader.
 
     Parameters
     ----------
     lenders : LenderList
-        Those whom an earlier leader named. They stay until all that live
-        have reported: hosts would lose their queues for nothing.
+        Lenders selected by an earlier leader. They are kept until all
+        running hosts have reported, as a change would needlessly discard
+        the queues of waiting requests.
     began : float
-        When reports began to come, by the own clock.
+        Local time at which reports started to arrive.
     own : LendingHost or None
-        The leader itself, which lends where no other host does.
+        The leader itself, which lends if no other host does.
     """
 
     def __init__(
@@ -124,16 +132,14 @@
         began: float,
         own: LendingHost | None = None,
     ) -> None:
-        self._seen: dict[LinkAddress, _Seen] = {}
+        self._reported: dict[LinkAddress, _ReportedStatus] = {}
         self._began = began
         self._own = own
         self.lenders = lenders
 
-    def note(
-        self, link: LinkAddress, standing: HostStatus, now: float
-    ) -> None:
-        """Take in what a host says of itself."""
-        self._seen[link] = _Seen(standing, now)
+    def note(self, link: LinkAddress, status: HostStatus, now: float) -> None:
+        """Record the status of a host."""
+        self._reported[link] = _ReportedStatus(status, now)
 
     def choose(
         self,
@@ -141,84 +147,91 @@
         now: float,
         others: Collection[RegisteredUpstream] = (),
     ) -> LenderList:
-        """Return who is to lend places at upstreams, by who reports now.
+        """Select lenders among the hosts that currently report.
 
-        Those who lend already go on: a new lender has to learn who is
-        where, and for the time of a request both lend the same places.
+        Current lenders are preferred: a new lender first has to learn which
+        places are in use, and for the duration of a request both lenders
+        lend the same places.
 
         Parameters
         ----------
         upstreams : collection of RegisteredUpstream
-            Those with keys: each request has one choice only.
+            Upstreams that own keys, for which each request can be sent to
+            one upstream only.
         now : float
-            Own clock.
+            Local clock.
         others : collection of RegisteredUpstream
-            All that may come to bear only so many requests a second: cold
-            ones, and whatever names a limit. Nobody knows before, and then
-            there is no time to choose.
+            All upstreams whose request rate may become limited because they
+            are cold or state a limit. This is not known in advance, and
+            there is no time for a selection once it happens.
         """
-        if now - self._began < _SILENCE:
+        if now - self._began < _REPORT_TIMEOUT:
             return self.lenders
-        self._seen = {
-            link: seen
-            for link, seen in self._seen.items()
-            if now - seen.heard_at <= _SILENCE
+        self._reported = {
+            link: reported
+            for link, reported in self._reported.items()
+            if now - reported.heard_at <= _REPORT_TIMEOUT
         }
-        able = {
-            link: seen.standing
-            for link, seen in self._seen.items()
-            if seen.standing.processors > 0
+        capable = {
+            link: reported.status
+            for link, reported in self._reported.items()
+            if reported.status.processors > 0
         }
-        crowded = self._are_crowded(upstreams)
+        many_hosts = self._exceeds_host_limit(upstreams)
         counts = collections.Counter(
-            each.data_centre for each in (upstreams if crowded else ())
+            each.data_centre for each in (upstreams if many_hosts else ())
         )
         for each in others:
             counts.setdefault(each.data_centre, 1)
         hosts: list[LendingHost] = []
         for data_centre, count in counts.items():
-            wanted = math.ceil(count / _UPSTREAMS_EACH)
-            links = self._rank(data_centre, able)[:wanted]
+            wanted = math.ceil(count / _UPSTREAMS_PER_LENDER)
+            links = self._rank(data_centre, capable)[:wanted]
             hosts += [LendingHost(link, data_centre) for link in links]
         if not hosts and others and self._own is not None:
             hosts.append(self._own)
-        hosts.sort(key=_order)
-        rate_limited_only = bool(hosts) and not crowded
+        hosts.sort(key=_sort_key)
+        rate_limited_only = bool(hosts) and not many_hosts
         self.lenders = LenderList(tuple(hosts), rate_limited_only)
         return self.lenders
 
-    def _are_crowded(self, upstreams: Collection[RegisteredUpstream]) -> bool:
-        """Tell whether hosts are too many to know what the others send.
+    def _exceeds_host_limit(
+        self, upstreams: Collection[RegisteredUpstream]
+    ) -> bool:
+        """Return whether there are too many hosts to work without lenders.
 
-        Where places are lent already, half as many are: one host that stops
-        and comes back must not take all queues away and back.
+        Each host then sees too few answers to know what the others send.
+        Once places are lent, half as many hosts suffice, so that one host
+        that stops and restarts does not remove and restore all queues.
         """
         if not upstreams:
             return False
         slots = sum(each.slots for each in upstreams) / len(upstreams)
-        bound = _HOSTS_EACH_SLOT * slots
+        bound = _HOSTS_PER_SLOT * slots
         if self.lenders.hosts and not self.lenders.rate_limited_only:
-            bound *= _CROWDED_STILL
+            bound *= _STOP_LENDING_FACTOR
         # The leader itself sends no report.
-        return len(self._seen) + 1 > bound
+        return len(self._reported) + 1 > bound
 
     def _rank(
-        self, data_centre: DataCentre, able: Mapping[LinkAddress, HostStatus]
+        self,
+        data_centre: DataCentre,
+        capable: Mapping[LinkAddress, HostStatus],
     ) -> list[LinkAddress]:
         present = {each.link for each in self.lenders.hosts}
         return sorted(
             (
                 link
-                for link, standing in able.items()
-                if standing.data_centre == data_centre
+                for link, status in capable.items()
+                if status.data_centre == data_centre
             ),
             key=lambda link: (
                 link not in present,
-                -able[link].processors,
+                -capable[link].processors,
                 link,
             ),
         )
 
 
-def _order(host: LendingHost) -> tuple[str, str]:
+def _sort_key(host: LendingHost) -> tuple[str, str]:
     return host.data_centre, host.link
--- a/sedgetide/core/membership/liveness.py
+++ b/sedgetide/core/membership/liveness.py
@@ -1,4 +1,4 @@
-"""Which peers are alive: an answer proves it, an open connection does not."""
+"""Liveness of peers, proved by answers rather than by open connections."""
 
 import enum
 
@@ -21,7 +21,7 @@
 
 
 class Liveness:
-    """Peers and the time of their last answer.
+    """Peers and the times of their last answers.
 
     Parameters
     ----------
@@ -36,7 +36,7 @@
     def note_answer(
         self, peer: LinkAddress, asked_at: float, leaving: bool
     ) -> None:
-        """Take in an answer to a question sent at ``asked_at``."""
+        """Record an answer to a request sent at ``asked_at``."""
         self._peers[peer] = _Peer(asked_at, leaving)
 
     def find_state(self, peer: LinkAddress, now: float) -> PeerState:
@@ -47,7 +47,7 @@
         return PeerState.LEAVING if known.leaving else PeerState.ALIVE
 
     def list_alive(self, now: float) -> list[LinkAddress]:
-        """Return peers that answer and are not about to stop."""
+        """Return the peers that answer and are not about to stop."""
         return [
             peer
             for peer in self._peers
@@ -55,6 +55,6 @@
         ]
 
     def measure_silence(self, peer: LinkAddress, now: float) -> float:
-        """Return seconds since a peer answered; infinite when never."""
+        """Return the seconds since a peer's last answer; infinite if none."""
         known = self._peers.get(peer)
         return float("inf") if known is None else now - known.heard_at
--- a/sedgetide/core/membership/partitions.py
+++ b/sedgetide/core/membership/partitions.py
@@ -1,95 +1,96 @@
-"""Whether this host is cut off, so that its callers do better elsewhere.
+"""Detection of network partitions that cut off this host's data centre.
 
-A data centre that is cut off serves what it can. Soon that is little: keys
-that are owned elsewhere are out of reach from the first moment, and the own
-ones go dark as nobody renews their grants. The balancer may reach the other
-data centres all the same. A host that knows itself cut off tells it so, and
-its callers are served there.
+A data centre that is cut off can soon serve very little: keys owned elsewhere
+are unreachable from the start, and local keys become unavailable because
+their grants are not renewed. The load balancer may still reach the other data
+centres. A host that detects the partition withdraws from the balancer, so
+that its callers are served there.
 """
 
 from sedgetide.core.identifiers import DataCentre
 
-# Seconds. News comes each 0.5 s in calm times, and later while the store is
+# Seconds. Updates normally arrive every 0.5 s, and later while the store is
 # slow.
-_SILENCE = 1.5
-# Two attempts may fail by the loss of one upstream.
-_LEAST_FAILURES = 3
+_STORE_TIMEOUT = 1.5
+# The loss of a single upstream may cause two attempts to fail.
+_MIN_FAILURES = 3
 # Seconds; a host sends several requests a second to other data centres.
-_FAR_SILENCE = 1.0
-# Half of the weight lies on the last 14 requests, a quarter of a second of a
-# host with 60 a second.
+_REMOTE_TIMEOUT = 1.0
+# Half of the weight is on the last 14 requests, which is a quarter of a second
+# for a host with 60 requests per second.
 _GAIN = 0.05
-# The others serve at least as large a part once the owners that are cut off
-# have been replaced; until then, the part that is owned there.
-_SERVED_ENOUGH = 0.7
-# Seconds. When all data centres are cut off from each other, nobody serves
-# the callers that are sent away. So it is tried, and given up for a while.
-_LONGEST_ABSENCE = 10.0
-_LEAST_PRESENCE = 30.0
+# The other data centres serve at least this share once the owners that are cut
+# off have been replaced, and until then the share that they own.
+_MIN_SERVED_SHARE = 0.7
+# Seconds. If all data centres are cut off from each other, none can serve the
+# callers of another one. A host therefore returns after a while and does not
+# withdraw again for some time.
+_MAX_WITHDRAWAL = 10.0
+_MIN_TIME_BETWEEN_WITHDRAWALS = 30.0
 
 NEVER = float("-inf")
 
 
 class PartitionDetector:
-    """Reach of one host, as its own requests show it.
+    """Detects a partition from the results of the host's own requests.
 
     Parameters
     ----------
     data_centre : DataCentre
-        Where it runs.
+        Data centre of the host.
     """
 
     def __init__(self, data_centre: DataCentre) -> None:
         self._own = data_centre
-        self._far_reached_at = NEVER
-        self._far_failures = 0
-        self._served = 1.0
-        self._left_at: float | None = None
+        self._remote_reached_at = NEVER
+        self._remote_failures = 0
+        self._served_share = 1.0
+        self._withdrawn_at: float | None = None
         self._returned_at = NEVER
 
     def note_reached(self, data_centre: DataCentre, now: float) -> None:
-        """Take in that an upstream answered."""
+        """Record that an upstream answered."""
         if data_centre != self._own:
-            self._far_reached_at = now
-            self._far_failures = 0
+            self._remote_reached_at = now
+            self._remote_failures = 0
 
     def note_unreached(self, data_centre: DataCentre) -> None:
-        """Take in that an upstream could not be reached, or was silent."""
+        """Record that an upstream was unreachable or did not answer."""
         if data_centre != self._own:
-            self._far_failures += 1
+            self._remote_failures += 1
 
     def note_end(self, served: bool) -> None:
-        """Take in whether a request got its answer."""
-        self._served += _GAIN * (float(served) - self._served)
+        """Record whether a request got its answer."""
+        self._served_share += _GAIN * (float(served) - self._served_share)
 
     def _is_cut_off(self, heard_at: float, now: float) -> bool:
         return (
-            now - heard_at >= _SILENCE
-            and now - self._far_reached_at >= _FAR_SILENCE
-            and self._far_failures >= _LEAST_FAILURES
-            and self._served < _SERVED_ENOUGH
+            now - heard_at >= _STORE_TIMEOUT
+            and now - self._remote_reached_at >= _REMOTE_TIMEOUT
+            and self._remote_failures >= _MIN_FAILURES
+            and self._served_share < _MIN_SERVED_SHARE
         )
 
     def should_withdraw(self, heard_at: float, now: float) -> bool:
-        """Tell whether callers should be sent to other data centres.
+        """Return whether callers should be sent to other data centres.
 
         Parameters
         ----------
         heard_at : float
-            When this host last heard what the store holds.
+            Local time of the last update from the store.
         now : float
-            Own clock.
+            Local clock.
         """
-        if self._left_at is not None:
-            if now - heard_at < _SILENCE:
-                self._left_at = None
-                self._served = 1.0
-            elif now - self._left_at >= _LONGEST_ABSENCE:
-                self._left_at = None
+        if self._withdrawn_at is not None:
+            if now - heard_at < _STORE_TIMEOUT:
+                self._withdrawn_at = None
+                self._served_share = 1.0
+            elif now - self._withdrawn_at >= _MAX_WITHDRAWAL:
+                self._withdrawn_at = None
                 self._returned_at = now
         elif (
             self._is_cut_off(heard_at, now)
-            and now - self._returned_at >= _LEAST_PRESENCE
+            and now - self._returned_at >= _MIN_TIME_BETWEEN_WITHDRAWALS
         ):
-            self._left_at = now
-        return self._left_at is not None
+            self._withdrawn_at = now
+        return self._withdrawn_at is not None
--- a/tests/core/membership/test_directory.py
+++ b/tests/core/membership/test_directory.py
@@ -1,4 +1,4 @@
-"""Tests of which registered upstreams are believed in."""
+"""Tests of the directory of registered upstreams."""
 
 import testtools
 
@@ -12,7 +12,7 @@
 
 
 class TestDirectory(testtools.TestCase):
-    """Entries come, announce their end, and disappear."""
+    """Entries appear, announce that they leave, and disappear."""
 
     def setUp(self):
         super().setUp()
@@ -32,10 +32,10 @@
         self.directory.remove("u-1", 101.0)
         self.assertEqual(["u-2"], self.list_names())
 
-    def test_entry_that_lapsed_in_an_outage_stays(self):
-        # The store was away, no upstream could renew its entry, and the
-        # store shows them all as gone when it is back. Believed at once,
-        # every key would lose its owner though all owners are well.
+    def test_entry_that_expired_in_an_outage_is_kept(self):
+        # During an outage of the store no upstream can renew its entry, so
+        # all entries are missing afterwards. If they were dropped at once,
+        # every key would lose its owner although all owners are running.
         self.directory.note_registry_outage(110.0)
         self.directory.remove("u-1", 110.1)
         self.directory.remove("u-2", 110.1)
@@ -54,9 +54,9 @@
         self.directory.replace([make_upstream("u-3")], 120.0)
         self.assertEqual(["u-3"], self.list_names())
 
-    def test_address_given_to_another(self):
-        # The owner crashed; its keys wait until its grant has run out. Its
-        # address is given to another service's upstream meanwhile, which
+    def test_address_reused_by_another(self):
+        # The owner has crashed, and its keys wait until its grant expires.
+        # When its address is reused by an upstream of another service, this
         # proves that its process has ended.
         address = "10.0.0.1:80"
         self.directory.remove("u-1", 101.0)
@@ -65,16 +65,16 @@
         self.directory.put(make_upstream("u-9"), 103.0)
         self.assertTrue(self.directory.is_address_reused("u-1", address))
 
-    def test_present_owner_has_no_successor(self):
+    def test_address_of_a_present_owner_is_not_reused(self):
         self.assertFalse(
             self.directory.is_address_reused("u-1", "10.0.0.1:80")
         )
 
     def test_older_entry_at_the_address_proves_no_end(self):
-        # u-1 ended, and u-2 got its address. A writer that was cut off then
-        # delivers u-1's old entry, while u-2's lapses because u-2 is cut off
-        # from the registry, and serves. Taken for its successor, u-1 would
-        # prove u-2's end, and u-2's keys would get a second owner.
+        # u-1 has ended and u-2 uses its address. A writer that was cut off
+        # delivers u-1's old entry late, while u-2's entry expires because
+        # u-2 is cut off from the registry but still serves. If u-1's entry
+        # proved the end of u-2, u-2's keys would get a second owner.
         self.directory.remove("u-1", 101.0)
         self.directory.put(make_upstream("u-5"), 102.0)
         self.directory.remove("u-2", 102.0)
@@ -85,63 +85,63 @@
         )
 
 
-def make_start(born, address="10.0.0.1:80", leaving=False):
+def make_incarnation(born, address="10.0.0.1:80", leaving=False):
     return RegisteredUpstream(
         "u-1", "maps", address, "dc", 2, leaving, born=born
     )
 
 
 class TestRestarts(testtools.TestCase):
-    """Starts of one upstream under one name."""
+    """Incarnations of one upstream under one name."""
 
     def setUp(self):
         super().setUp()
         self.directory = UpstreamDirectory(grace=2.0)
-        self.directory.put(make_start(5000), 100.0)
+        self.directory.put(make_incarnation(5000), 100.0)
         self.first = self.directory.find_current("u-1").name
 
     def test_restart_is_another_incarnation(self):
-        # The owner crashes and is back under its name. Whoever took it for
-        # the same would renew grants that it never had, and ask it for keys
-        # that it does not hold.
-        self.directory.put(make_start(9000), 101.0)
+        # The owner crashes and restarts under its name. If it were treated
+        # as the same process, grants that it never received would be renewed
+        # and requests sent for keys that it does not hold.
+        self.directory.put(make_incarnation(9000), 101.0)
         second = self.directory.find_current("u-1").name
         self.assertNotEqual(self.first, second)
         self.assertIsNone(self.directory.find(self.first))
         self.assertEqual("u-1", self.directory.find(second).registered_name)
 
     def test_late_entry_of_an_older_start_changes_nothing(self):
-        self.directory.put(make_start(9000), 101.0)
-        self.directory.put(make_start(5000, "10.0.0.9:80", True), 102.0)
+        self.directory.put(make_incarnation(9000), 101.0)
+        self.directory.put(make_incarnation(5000, "10.0.0.9:80", True), 102.0)
         current = self.directory.find_current("u-1")
         self.assertEqual((9000, False), (current.born, current.leaving))
 
     def test_late_entry_after_the_end_changes_nothing(self):
-        self.directory.put(make_start(9000), 101.0)
+        self.directory.put(make_incarnation(9000), 101.0)
         self.directory.remove("u-1", 102.0)
-        self.directory.put(make_start(5000), 103.0)
+        self.directory.put(make_incarnation(5000), 103.0)
         self.assertEqual([], self.directory.list_all())
 
     def test_restart_at_its_address_proves_the_end_of_the_start_before(self):
-        self.directory.put(make_start(9000), 101.0)
+        self.directory.put(make_incarnation(9000), 101.0)
         self.assertTrue(
             self.directory.is_address_reused(self.first, "10.0.0.1:80")
         )
 
     def test_restart_elsewhere_proves_nothing(self):
-        # The start before may serve on behind a cut.
-        self.directory.put(make_start(9000, "10.0.0.9:80"), 101.0)
+        # The previous incarnation may still serve behind a partition.
+        self.directory.put(make_incarnation(9000, "10.0.0.9:80"), 101.0)
         self.assertFalse(
             self.directory.is_address_reused(self.first, "10.0.0.1:80")
         )
 
-    def test_entry_without_a_birth_is_of_another_writer(self):
-        self.directory.put(make_start(UNKNOWN_BIRTH), 101.0)
+    def test_entry_without_a_start_time_is_unreadable(self):
+        self.directory.put(make_incarnation(UNKNOWN_BIRTH), 101.0)
         self.assertEqual([], self.directory.list_active("maps"))
 
 
 class TestUnreadableEntries(testtools.TestCase):
-    """An entry that says nothing names no upstream to use."""
+    """An entry that cannot be interpreted provides no usable upstream."""
 
     def setUp(self):
         super().setUp()
@@ -149,8 +149,8 @@
         self.directory.put(make_upstream("u-1"), 100.0)
 
     def test_upstream_gets_nothing_new_but_is_not_gone(self):
-        # Another writer overwrites the entry of an upstream that serves.
-        # Taken for gone, its keys would get a second owner at once.
+        # Another writer overwrites the entry of a running upstream. If the
+        # upstream were considered gone, its keys would get a second owner.
         self.directory.mark_unreadable("u-1", 101.0)
         self.assertEqual([], self.directory.list_active("maps"))
         self.assertIsNone(self.directory.find_active("u-1"))
@@ -170,13 +170,13 @@
         self.assertEqual(100.0, self.directory.changed_at)
 
 
-class TestOwnWord(testtools.TestCase):
-    """An upstream says in its answers that it leaves."""
+class TestAnnouncements(testtools.TestCase):
+    """An upstream announces in its answers that it leaves."""
 
     def setUp(self):
         super().setUp()
         self.directory = UpstreamDirectory(grace=2.0)
-        self.first = make_born("u-1", 5)
+        self.first = make_with_start_time("u-1", 5)
         self.directory.put(self.first, 100.0)
         self.assertTrue(self.directory.note_leaving(self.first.name))
 
@@ -185,33 +185,33 @@
         serving = self.directory.find_serving(name, 120.0) is not None
         return serving or self.directory.find_active(name) is not None
 
-    def test_entry_that_shows_it_ready_does_not_take_the_word_back(self):
-        # Guards against sends that go on until the registry knows.
+    def test_entry_that_shows_it_ready_does_not_revoke_the_announcement(self):
+        # Requests must not be sent until the registry learns of it.
         self.directory.put(self.first, 101.0)
         self.directory.replace([self.first], 102.0)
         self.assertFalse(self.is_used(self.first))
         self.assertFalse(self.directory.note_leaving(self.first.name))
         self.assertEqual([self.first.name], self.directory.list_announced())
 
-    def test_word_outlives_an_entry_that_lapses_and_comes_back(self):
+    def test_announcement_outlives_an_entry_that_expires_and_reappears(self):
         self.directory.remove("u-1", 101.0)
         self.assertEqual([], self.directory.list_announced())
         self.directory.put(self.first, 105.0)
         self.assertFalse(self.is_used(self.first))
 
-    def test_next_start_under_the_name_has_said_nothing(self):
-        second = make_born("u-1", 6)
+    def test_next_incarnation_has_announced_nothing(self):
+        second = make_with_start_time("u-1", 6)
         self.directory.put(second, 101.0)
         self.assertTrue(self.is_used(second))
         self.assertFalse(self.directory.is_leaving(second.name))
 
-    def test_word_before_the_entry(self):
-        # The leader may hear of it before it has read the registry.
-        later = make_born("u-2", 7)
+    def test_announcement_before_the_entry(self):
+        # The leader may learn of it before it has read the registry entry.
+        later = make_with_start_time("u-2", 7)
         self.directory.note_leaving(later.name)
         self.directory.put(later, 101.0)
         self.assertFalse(self.is_used(later))
 
 
-def make_born(name, born):
+def make_with_start_time(name, born):
     return RegisteredUpstream(name, "maps", "10.0.0.1:80", "dc", 2, born=born)
--- a/tests/core/membership/test_evacuation_walk.py
+++ b/tests/core/membership/test_evacuation_walk.py
@@ -1,9 +1,9 @@
-"""A walk of hosts through evacuations, in passed-in time.
+"""Random walk of hosts through evacuations in simulated time.
 
-The store tells of wishes and take-backs; hosts hear of them late, are kept
-from the store, stand still, and start anew with nothing remembered. No leader
-moves any key: owners stay where they are, so that what hosts decide on their
-own is all that keeps a data centre empty.
+The store announces evacuations and their cancellation. Hosts learn of them
+late, lose contact with the store, are suspended, and restart without state.
+No leader moves any keys, so a data centre gets no requests only because of
+decisions that the hosts make themselves.
 """
 
 import random
@@ -21,12 +21,12 @@
 from sedgetide.core.requests.attempts import list_candidates
 from sedgetide.core.requests.attempts import Target
 
-CENTRES = ("a", "b", "c")
+DATA_CENTRES = ("a", "b", "c")
 ALLOWED = 5.0
-# Seconds of calm after which a host has to keep to what is allowed.
-TOUCH = 3.0
-# Seconds; a host that reaches the store hears of a change within it.
-NEWS = 1.0
+# Seconds without faults after which a host must comply.
+SETTLING_TIME = 3.0
+# Seconds within which a host that reaches the store learns of a change.
+MAX_NEWS_DELAY = 1.0
 STEP = 0.1
 SEEDS = range(40)
 
@@ -39,21 +39,21 @@
 
 class Host:
     def __init__(self, now):
-        self.away_until = 0.0
+        self.store_lost_until = 0.0
         self.paused_until = 0.0
         self.restart(now)
 
     def restart(self, now):
         self.directory = UpstreamDirectory(evacuations=Evacuations(ALLOWED))
-        for name in CENTRES:
+        for name in DATA_CENTRES:
             entry = RegisteredUpstream(f"u-{name}", "maps", "1.1.1.1:1", name)
             self.directory.put(entry, now)
         self.known = 0
         self.heard_at = float("-inf")
-        self.calm_since = now
+        self.fault_free_since = now
 
-    def hear(self, changes, now):
-        """Take in what the store tells, in the order in which it came."""
+    def receive(self, changes, now):
+        """Apply the changes announced by the store in order."""
         evacuations = self.directory.evacuations
         for each in changes[self.known :]:
             if each.asked:
@@ -70,28 +70,28 @@
         self.now = 100.0
         self.hosts = [Host(self.now) for _ in range(4)]
         self.table = RangeTable().assign_first(
-            [(f"u-{name}", 1) for name in CENTRES]
+            [(f"u-{name}", 1) for name in DATA_CENTRES]
         )
         self.changes = []
         self.asked = {}
         self.late = []
-        self.kept_out = 0
+        self.not_sent = 0
 
     def run(self, seconds):
         end = self.now + seconds
         while self.now < end:
             self.now += STEP
             if self.random.random() < 0.03:
-                self._wish()
+                self._change_evacuation()
             if self.random.random() < 0.03:
-                self._strike()
+                self._inject_fault()
             for host in self.hosts:
                 if self.now >= host.paused_until:
                     self._step(host)
         return self
 
-    def _wish(self):
-        name = self.random.choice(CENTRES)
+    def _change_evacuation(self):
+        name = self.random.choice(DATA_CENTRES)
         asked = name not in self.asked
         self.changes.append(Change(self.now, name, asked))
         if asked:
@@ -99,25 +99,27 @@
         else:
             del self.asked[name]
 
-    def _strike(self):
+    def _inject_fault(self):
         host = self.random.choice(self.hosts)
         until = self.now + self.random.choice((0.5, 2.0, 6.0))
         kind = self.random.choice(("restart", "away", "pause"))
         if kind == "restart":
             host.restart(self.now)
         elif kind == "away":
-            host.away_until = until
+            host.store_lost_until = until
         else:
             host.paused_until = until
-        host.calm_since = max(host.calm_since, until)
+        host.fault_free_since = max(host.fault_free_since, until)
 
     def _step(self, host):
-        if self.now >= host.away_until:
+        if self.now >= host.store_lost_until:
             due = [each.at for each in self.changes[host.known :]]
-            late = due and self.now - due[0] >= self.random.uniform(0, NEWS)
+            late = due and self.now - due[0] >= self.random.uniform(
+                0, MAX_NEWS_DELAY
+            )
             first = host.heard_at == float("-inf")
             if first or late or self.random.random() < 0.3:
-                host.hear(self.changes, self.now)
+                host.receive(self.changes, self.now)
         if host.heard_at > float("-inf"):
             self._send(host)
 
@@ -128,10 +130,10 @@
         if isinstance(found, Target):
             reached.append(found.upstream.data_centre)
         else:
-            self.kept_out += 1
+            self.not_sent += 1
         candidates = list_candidates(host.directory, "maps", (), self.now)
         reached += [each.data_centre for each in candidates]
-        if self.now < host.calm_since + TOUCH:
+        if self.now < host.fault_free_since + SETTLING_TIME:
             return
         for name in reached:
             asked_at = self.asked.get(name)
@@ -142,20 +144,20 @@
 def walk():
     walks = [Walk(seed).run(120.0) for seed in SEEDS]
     return sum(len(each.late) for each in walks), sum(
-        each.kept_out for each in walks
+        each.not_sent for each in walks
     )
 
 
 class TestWalk(testtools.TestCase):
     def test_nothing_is_sent_there_too_late(self):
-        late, kept_out = walk()
+        late, not_sent = walk()
         self.assertEqual(0, late)
-        # A walk in which all may always be sent proves nothing.
-        self.assertGreater(kept_out, 1000)
+        # A walk in which every request may be sent proves nothing.
+        self.assertGreater(not_sent, 1000)
 
 
 class TestSafeguards(testtools.TestCase):
-    """Without any one of them the walk finds a request sent too late."""
+    """Without any one safeguard the walk finds a request sent too late."""
 
     def check_found(self, name, replacement):
         with mock.patch.object(Evacuations, name, replacement):
@@ -165,7 +167,7 @@
     def test_owners_serve_until_their_keys_have_moved(self):
         self.check_found("may_serve", lambda *_: True)
 
-    def test_wish_counts_from_when_it_is_heard(self):
+    def test_evacuation_counts_from_when_it_is_heard_of(self):
         real = Evacuations.start
 
         def start(evacuations, data_centre, heard_at, now):
--- a/tests/core/membership/test_evacuations.py
+++ b/tests/core/membership/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Tests of data centres that operators want emptied."""
+"""Tests of the evacuation of data centres."""
 
 from hypothesis import given
 from hypothesis import strategies
@@ -18,7 +18,7 @@
 
 
 class TestEvacuations(testtools.TestCase):
-    """Wishes come late, go, and come again."""
+    """Evacuations are learnt of late, cancelled and started again."""
 
     def setUp(self):
         super().setUp()
@@ -31,26 +31,26 @@
         self.assertFalse(self.evacuations.may_serve("north", 102.5))
         self.assertTrue(self.evacuations.may_serve("south", 102.5))
 
-    def test_host_that_starts_takes_a_wish_for_an_old_one(self):
-        """All hosts are lost in the middle of an evacuation.
+    def test_host_that_starts_treats_an_evacuation_as_old(self):
+        """All hosts restart without state during an evacuation.
 
-        They come back with nothing remembered. If each took the wish that
-        it finds for a new one, the data centre would get requests for
-        seconds more, long after operators believe it empty.
+        If each treated the evacuation that it finds as a new one, the data
+        centre would get requests for some more seconds, long after
+        operators consider it empty.
         """
         self.evacuations.start("north", NEVER, 100.0)
         self.assertFalse(self.evacuations.may_serve("north", 100.0))
 
-    def test_wish_after_a_silence_is_as_old_as_the_silence(self):
+    def test_evacuation_after_a_silence_is_as_old_as_the_silence(self):
         self.evacuations.start("north", 94.0, 100.0)
         self.assertFalse(self.evacuations.may_serve("north", 100.0))
 
-    def test_repeated_wish_begins_nothing_anew(self):
+    def test_repeated_start_changes_nothing(self):
         self.evacuations.start("north", 99.9, 100.0)
         self.assertFalse(self.evacuations.start("north", 102.0, 102.0))
         self.assertFalse(self.evacuations.may_serve("north", 102.6))
 
-    def test_taken_back_and_asked_again(self):
+    def test_cancelled_and_started_again(self):
         self.evacuations.start("north", 99.9, 100.0)
         self.assertEqual(3.0, self.evacuations.cancel("north", 103.0))
         self.assertTrue(self.evacuations.may_serve("north", 103.0))
@@ -59,11 +59,11 @@
         self.assertTrue(self.evacuations.may_serve("north", 105.9))
         self.assertFalse(self.evacuations.may_serve("north", 106.0))
 
-    def test_take_back_of_what_was_not_asked(self):
+    def test_cancelling_an_unknown_evacuation(self):
         self.assertIsNone(self.evacuations.cancel("north", 103.0))
         self.assertEqual(NEVER, self.evacuations.find_cancelled_at("north"))
 
-    def test_no_time_at_all(self):
+    def test_no_time_allowed(self):
         evacuations = Evacuations(0.0)
         evacuations.start("north", 100.0, 100.0)
         self.assertFalse(evacuations.may_serve("north", 100.0))
@@ -79,8 +79,9 @@
         )
     )
     def test_never_served_later_than_allowed(self, steps):
-        # Wishes and take-backs in any order, heard with any delay: the data
-        # centre is served no later than allowed after the last wish.
+        # Evacuations and cancellations in any order and learnt of with any
+        # delay: the data centre gets no requests later than allowed after
+        # the last evacuation was started.
         evacuations = Evacuations(ALLOWED)
         now, asked_at = 0.0, None
         for asked, delay, pause in steps:
@@ -97,7 +98,7 @@
 
 
 class TestDirectory(testtools.TestCase):
-    """What an evacuated data centre still gets."""
+    """Requests and keys that an evacuated data centre still gets."""
 
     def setUp(self):
         super().setUp()
@@ -144,10 +145,10 @@
             self.assertIs(Wait.OWNER_GONE, found)
 
     def test_returned_upstream_counts_as_cold(self):
-        """What comes back may be cold, and its entry says so later.
+        """A returning upstream may be cold before its entry says so.
 
-        Taken for warm, it seems the idlest of all: every host sends it
-        requests and it ends under them before its entry is read.
+        If it were treated as warm, it would appear to be the idlest one, and
+        requests from all hosts would crash it before its entry is read.
         """
         entry = self.put("n-1", "north")
         self.evacuations.start("north", 10.0, 10.0)
--- a/tests/core/membership/test_lenders.py
+++ b/tests/core/membership/test_lenders.py
@@ -1,4 +1,4 @@
-"""Tests of who lends places at upstreams."""
+"""Tests of the selection of hosts that lend places at upstreams."""
 
 import testtools
 
@@ -32,25 +32,28 @@
     return LinkAddress(f"{data_centre}-host-{index}:7000")
 
 
-class TestRoster(testtools.TestCase):
+class TestLenderSelector(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.roster = LenderSelector(LenderList(), 0.0)
+        self.selector = LenderSelector(LenderList(), 0.0)
 
     def report(self, count, now, data_centre=NORTH, weak=()):
         for index in range(count):
-            power = 0.4 if index in weak else 2.0
-            self.roster.note(
+            processors = 0.4 if index in weak else 2.0
+            self.selector.note(
                 make_link(index, data_centre),
-                HostStatus(data_centre, power),
+                HostStatus(data_centre, processors),
                 now,
             )
 
     def choose(self, upstreams, now):
-        return [each.link for each in self.roster.choose(upstreams, now).hosts]
+        return [
+            each.link for each in self.selector.choose(upstreams, now).hosts
+        ]
 
     def test_few_hosts_go_by_their_own_windows(self):
-        # Four for each slot, with the leader, which does not report.
+        # The limit is four hosts per slot, including the leader, which does
+        # not report.
         self.report(7, 2.0)
         self.assertEqual([], self.choose(make_upstreams(20), 2.0))
         self.report(8, 2.0)
@@ -66,23 +69,25 @@
         self.assertEqual([], self.choose(make_upstreams(20), 6.0))
 
     def test_few_hosts_before_cold_upstreams(self):
-        # A cold upstream ends under what a few hosts send, each by its own
-        # window. So some count it for all; elsewhere windows hold.
+        # A cold upstream can be crashed by the requests of a few hosts that
+        # each use their own window. Lenders therefore count its requests
+        # for all hosts, while windows are used for all other upstreams.
         self.report(5, 2.0)
         upstreams = make_upstreams(20, slots=6)
-        found = self.roster.choose(upstreams, 2.0, upstreams)
+        found = self.selector.choose(upstreams, 2.0, upstreams)
         self.assertEqual(1, len(found.hosts))
         self.assertTrue(found.rate_limited_only)
-        # Lending there is no reason to lend everywhere with half the hosts.
+        # Lending at limited upstreams must not lower the number of hosts
+        # from which places are lent at all upstreams.
         self.report(5, 2.4)
         self.assertTrue(
-            self.roster.choose(upstreams, 2.4, upstreams).rate_limited_only
+            self.selector.choose(upstreams, 2.4, upstreams).rate_limited_only
         )
 
     def test_many_hosts_before_cold_upstreams(self):
         self.report(10, 2.0)
         keyed, plain = make_upstreams(20), make_upstreams(3, SOUTH)
-        found = self.roster.choose(keyed, 2.0, plain)
+        found = self.selector.choose(keyed, 2.0, plain)
         self.assertFalse(found.rate_limited_only)
         self.assertEqual(2, len(found.hosts))
 
@@ -99,17 +104,16 @@
         self.assertEqual(before, self.choose(make_upstreams(10), 2.4))
 
     def test_lost_lender_is_replaced(self):
-        """A killed lender is missed for three reports.
+        """A killed lender is replaced after three missed reports.
 
-        Its callers go by their own windows until the
-        leader has missed three reports of it and names another host.
+        Until the leader selects another lender, hosts use their own windows.
         """
         self.report(10, 2.0)
         (lost,) = self.choose(make_upstreams(10), 2.0)
         for now in (2.4, 2.8, 3.2, 3.6):
             for index in range(10):
                 if make_link(index) != lost:
-                    self.roster.note(
+                    self.selector.note(
                         make_link(index), HostStatus(NORTH, 2.0), now
                     )
         (chosen,) = self.choose(make_upstreams(10), 3.6)
@@ -118,17 +122,17 @@
     def test_host_about_to_stop_lends_no_more(self):
         self.report(10, 2.0)
         (stopping,) = self.choose(make_upstreams(10), 2.0)
-        self.roster.note(stopping, HostStatus(NORTH, 0.0), 2.1)
+        self.selector.note(stopping, HostStatus(NORTH, 0.0), 2.1)
         self.assertNotIn(stopping, self.choose(make_upstreams(10), 2.1))
 
     def test_new_leader_keeps_the_lenders_until_all_have_reported(self):
-        """A new leader changes no queue.
+        """A new leader must not move the queues of waiting requests.
 
-        A leader is lost; the next one hears the hosts one after the
-        other. Naming lenders by the first reports would move every queue.
+        Hosts report to the new leader one after the other. If it selected
+        lenders by the first reports, every queue would move.
         """
         named = LenderList((LendingHost(make_link(7), NORTH),))
-        self.roster = LenderSelector(named, 10.0)
+        self.selector = LenderSelector(named, 10.0)
         self.report(3, 10.4)
         self.assertEqual([make_link(7)], self.choose(make_upstreams(10), 10.4))
         self.report(10, 11.4)
--- a/tests/core/membership/test_partitions.py
+++ b/tests/core/membership/test_partitions.py
@@ -1,4 +1,4 @@
-"""Tests of when a host sends its callers to other data centres."""
+"""Tests of the detection of network partitions."""
 
 import testtools
 
@@ -6,7 +6,7 @@
 
 
 class TestPartitionDetector(testtools.TestCase):
-    """A host leaves only while others can do what it can not."""
+    """A host withdraws only while others can serve what it cannot."""
 
     def setUp(self):
         super().setUp()
@@ -19,9 +19,10 @@
             self.detector.note_end(False)
 
     def test_cut_data_centre_sends_its_callers_away(self):
-        # The data centre is cut off from the store and all others, while
-        # its callers reach it. They were refused for as long as it lasted:
-        # first what is owned elsewhere, two thirds, then nearly all.
+        # The data centre is cut off from the store and from all others, but
+        # its callers still reach it. Their requests were refused for the
+        # whole partition: first two thirds, which are owned elsewhere, then
+        # nearly all.
         self.fail()
         self.assertFalse(self.detector.should_withdraw(100.0, 101.0))
         self.assertTrue(self.detector.should_withdraw(100.0, 101.6))
@@ -32,8 +33,8 @@
         self.assertFalse(self.detector.should_withdraw(105.0, 105.1))
 
     def test_lost_store_alone_is_no_reason(self):
-        # All hosts are without the store. They reach all upstreams, and
-        # there is nobody who could do better.
+        # No host reaches the store, but all of them reach all upstreams, so
+        # no other host could serve more.
         self.fail()
         self.detector.note_reached("there", 102.0)
         self.fail(1)
@@ -55,7 +56,8 @@
         self.assertFalse(self.detector.should_withdraw(100.0, 105.0))
 
     def test_when_all_are_cut_off_it_comes_back(self):
-        # Sent away by all data centres, callers would be served by none.
+        # If all data centres withdrew for good, callers would be served by
+        # none.
         self.fail()
         self.assertTrue(self.detector.should_withdraw(100.0, 102.0))
         self.assertTrue(self.detector.should_withdraw(100.0, 111.9))
