--- a/sedgetide/core/membership/datacentre.py
+++ b/sedgetide/core/membership/datacentre.py
@@ -272,7 +272,7 @@
         return {member.link for member in self.assignment.members.values()}
 
     def is_watching(self, now: float) -> bool:
-        """Return whether this keeper watches the store."""
+        """Return whether this keeper watches the store for the members."""
         if self.host not in self.assignment.members or self.store_unavailable:
             return True
         ranked = rank_candidates("watch", self._list_with_store(now))
--- a/sedgetide/core/ownership/terms.py
+++ b/sedgetide/core/ownership/terms.py
@@ -14,6 +14,9 @@
 class Grant(msgspec.Struct, frozen=True):
     """Lifetime of one grant and its entry in the hold ledger.
 
+    A grant is an order that makes an upstream the owner of a key range for
+    a limited time.
+
     Parameters
     ----------
     life : float
