--- a/sedgetide/daemons/__init__.py
+++ b/sedgetide/daemons/__init__.py
@@ -1,1 +1,1 @@
-"""The daemons: thin processes around the decisions."""
+"""The daemons: I/O around the decision logic of :mod:`sedgetide.core`."""
--- a/sedgetide/daemons/_assignmentwriter.py
+++ b/sedgetide/daemons/_assignmentwriter.py
@@ -1,4 +1,4 @@
-"""The task of a keeper that writes changes of the assignment."""
+"""Writes changes of the assignment to the store."""
 
 import logging
 
@@ -14,22 +14,24 @@
 
 
 class AssignmentWriter:
-    """Writes one planned change at a time.
+    """Writes planned changes of the assignment, one at a time.
 
     Parameters
     ----------
     store : Store
-        Client for writes, owned by the caller.
+        Store client for writes; the creator closes it.
     key : str
-        Key of the assignment.
+        Store key of the assignment.
     owner : StoreListener
-        Given each version found in the store.
+        Receives the record that the store holds after a write.
     """
 
-    def __init__(self, store: Store, key: str, owner: StoreListener) -> None:
+    def __init__(
+        self, store: Store, key: str, listener: StoreListener
+    ) -> None:
         self._store = store
         self._key = key
-        self._owner = owner
+        self._listener = listener
         self._task: gevent.Greenlet | None = None
 
     @property
@@ -37,31 +39,31 @@
         """Whether a change is being written."""
         return self._task is not None and not self._task.dead
 
-    def write(self, plan: AssignmentChange) -> None:
-        """Begin to write a change."""
-        self._task = gevent.spawn(self._write, plan)
+    def write(self, change: AssignmentChange) -> None:
+        """Start writing a change in the background."""
+        self._task = gevent.spawn(self._write, change)
 
     def close(self) -> None:
-        """Stop a write that is under way."""
+        """Abort a write in progress."""
         if self._task is not None:
             self._task.kill()
 
-    def _write(self, plan: AssignmentChange) -> None:
+    def _write(self, change: AssignmentChange) -> None:
         record = swap_assignment(
-            self._store, self._key, plan.assignment, plan.expected
+            self._store, self._key, change.assignment, change.expected
         )
         if record is None:
-            # Another member may reach the store; let it assign.
-            self._owner.set_store_unavailable(True)
+            # Another member may still reach the store and assign instead.
+            self._listener.set_store_unavailable(True)
             return
         ASSIGNMENT_CHANGES.inc()
         _log.info(
             "assignment written",
             extra={
                 "revision": record.revision,
-                "members": len(plan.assignment.members),
-                "shards": len(plan.assignment.shards),
-                "releasing": len(plan.assignment.list_releasing()),
+                "members": len(change.assignment.members),
+                "shards": len(change.assignment.shards),
+                "releasing": len(change.assignment.list_releasing()),
             },
         )
-        self._owner.handle_records([record])
+        self._listener.handle_records([record])
--- a/sedgetide/daemons/_control.py
+++ b/sedgetide/daemons/_control.py
@@ -1,4 +1,4 @@
-"""The control task of a keeper: what is known, who keeps what."""
+"""Control of a keeper: membership, assignment and upstream tasks."""
 
 import contextlib
 import logging
@@ -38,8 +38,8 @@
 from sedgetide.core.requests.outcomes import Outcome
 from sedgetide.core.requests.outcomes import Reason
 from sedgetide.daemons._assignmentwriter import AssignmentWriter
+from sedgetide.daemons._heartbeats import HeartbeatHandler
 from sedgetide.daemons._heartbeats import Heartbeats
-from sedgetide.daemons._heartbeats import HeartbeatsOwner
 from sedgetide.daemons._inspection import Inspectable
 from sedgetide.daemons._metrics import CONFIGURATION_REVISION
 from sedgetide.daemons._storetask import StoreListener
@@ -48,19 +48,23 @@
 from sedgetide.links import Transport
 from sedgetide.runtime.tasks import spawn_vital
 
-_UNUSED_LINK = 30.0
+_IDLE_LINK_TIMEOUT = 30.0
 _STORE_TIMEOUT = 1.0
-_MOVING_RETRY = 0.1
+_MOVING_RETRY_DELAY = 0.1
 
 _log = logging.getLogger(__name__)
 
 
-def _drop_message(message: Message) -> None:
-    """Leave a message unsent; heartbeats and deadlines make it good."""
+def _log_dropped_message(message: Message) -> None:
+    """Log a message that could not be sent.
+
+    It needs no retransmission: heartbeats replicate records again, and
+    requests end by their deadline.
+    """
     _log.warning("message dropped", extra={"kind": type(message).__name__})
 
 
-def _read_report(message: LossReport) -> UpstreamReport:
+def _decode_report(message: LossReport) -> UpstreamReport:
     return UpstreamReport(
         message.upstream,
         message.alive,
@@ -69,7 +73,7 @@
     )
 
 
-def _write_report(report: UpstreamReport) -> LossReport:
+def _encode_report(report: UpstreamReport) -> LossReport:
     return LossReport(
         report.upstream,
         report.alive,
@@ -78,8 +82,8 @@
     )
 
 
-class Control(HeartbeatsOwner, StoreListener, Inspectable):
-    """Everything of a keeper but the work on single upstreams.
+class Control(HeartbeatHandler, StoreListener, Inspectable):
+    """Runs a keeper: membership, the assignment, and one task per upstream.
 
     Parameters
     ----------
@@ -104,7 +108,7 @@
             settings.link,
             settings.limits.body_bytes,
             self._handle,
-            _drop_message,
+            _log_dropped_message,
         )
         self._stack.callback(self._transport.close)
         self._heartbeats = Heartbeats(
@@ -130,48 +134,51 @@
         return HttpStore(self._settings.stores, _STORE_TIMEOUT)
 
     def start(self) -> None:
-        """Listen and begin all loops."""
+        """Start the link listener, the store loops and the control loop."""
         self._transport.start()
         self._store.start(self._stack)
         spawn_vital(self._loop, self._stack)
 
     def close(self) -> None:
-        """End all tasks and close all connections."""
+        """Stop all tasks and close all connections."""
         for task in [*self._tasks.values(), *self._retired]:
             task.close()
         self._stack.close()
 
     def begin_leaving(self) -> None:
-        """Tell the peers that this process is about to stop."""
+        """Announce to the peers that this process is about to stop."""
         self._view.leaving = True
         self._tick(time.monotonic())
 
     @property
     def idle(self) -> bool:
-        """Whether no request is in hand."""
+        """Whether no request is open."""
         tasks = [*self._tasks.values(), *self._retired]
         return all(task.idle for task in tasks)
 
-    # What this process says of itself
+    # Status of this process
 
     def make_status(self, now: float) -> Status:
-        said = self._view.make_member_report(now)
-        # Members need no introduction; most heartbeats stay short so.
-        listed = self._view.assignment.members.get(self._view.host)
-        introduction = None if listed == self._member else self._member
+        member_report = self._view.make_member_report(now)
+        # The addresses of a listed member are known to its peers; leaving
+        # them out keeps heartbeats short.
+        listed_member = self._view.assignment.members.get(self._view.host)
+        announced_member = (
+            None if listed_member == self._member else self._member
+        )
         return Status(
             self._view.host,
             self._incarnation,
             self._settings.home,
             now,
             self._cache.digest,
-            said.revision,
-            said.counting,
-            said.store_age,
-            said.store_revision,
-            said.store_unavailable,
+            member_report.revision,
+            member_report.counting,
+            member_report.store_age,
+            member_report.store_revision,
+            member_report.store_unavailable,
             self._view.leaving,
-            introduction,
+            announced_member,
         )
 
     def is_ready(self) -> bool:
@@ -199,18 +206,18 @@
             "upstreams": [task.dump_state() for task in self._tasks.values()],
         }
 
-    # What others say
+    # Messages from peers
 
     def _handle(self, message: AnyMessage, sender: str) -> None:
         now = time.monotonic()
         match message:
             case Request():
-                self._take_request(message, sender, now)
+                self._handle_request(message, sender, now)
             case Cancel():
                 for task in self._tasks.values():
                     task.cancel(message.number)
             case LossReport():
-                self._view.note_report(_read_report(message), now)
+                self._view.note_report(_decode_report(message), now)
             case _:
                 self._heartbeats.handle(message, sender, now)
 
@@ -219,7 +226,7 @@
     ) -> None:
         if status.data_centre != self._settings.home:
             return
-        said = MemberReport(
+        member_report = MemberReport(
             status.revision,
             status.counting,
             status.store_age,
@@ -227,7 +234,7 @@
             status.store_unavailable,
         )
         self._view.note_member_report(
-            status.host, asked_at, said, time.monotonic()
+            status.host, asked_at, member_report, time.monotonic()
         )
 
     def note_ping(self, address: LinkAddress, status: Status) -> None:
@@ -240,31 +247,33 @@
 
     def note_record(self, record: Record) -> None:
         if record.key == CONFIGURATION_KEY:
-            self._take_text(record)
+            self._apply_configuration(record)
         elif record.key == self._key:
-            self._take_assignment(record)
+            self._apply_assignment(record)
         self._tick(time.monotonic())
 
-    def _take_assignment(self, record: Record) -> None:
+    def _apply_assignment(self, record: Record) -> None:
         assignment = decode_assignment(record.value)
         self._view.take_assignment(assignment, record.revision)
         if assignment.list_releasing():
-            # The wait for the old owner begins when a majority has said
-            # that it knows; asking now saves up to a heartbeat of it.
+            # The wait for the old owner begins when a majority has confirmed
+            # the new assignment; an immediate ping saves up to a heartbeat.
             self._heartbeats.ping(self._list_peers(), time.monotonic())
 
-    def _take_text(self, record: Record) -> None:
-        text, problems = check_text(decode_text(record.value).text.encode())
-        if text is None:
+    def _apply_configuration(self, record: Record) -> None:
+        configuration, problems = check_text(
+            decode_text(record.value).text.encode()
+        )
+        if configuration is None:
             _log.error(
-                "text refused",
+                "invalid configuration ignored",
                 extra={
                     "revision": record.revision,
                     "problem": str(problems[0]),
                 },
             )
             return
-        self._view.apply_configuration(text)
+        self._view.apply_configuration(configuration)
         CONFIGURATION_REVISION.set(record.revision)
 
     # The store
@@ -285,8 +294,8 @@
         self._view.authority.note_store(asked_at, revision)
         self._renew(time.monotonic())
 
-    def set_store_unavailable(self, away: bool) -> None:
-        self._view.store_unavailable = away
+    def set_store_unavailable(self, unavailable: bool) -> None:
+        self._view.store_unavailable = unavailable
 
     # The loop
 
@@ -296,10 +305,10 @@
             if now - self._pinged_at >= self._timing.heartbeat * 0.9:
                 self._pinged_at = now
                 self._heartbeats.ping(self._list_peers(), now)
-                self._transport.close_unused(_UNUSED_LINK)
-                self._report(now)
+                self._transport.close_unused(_IDLE_LINK_TIMEOUT)
+                self._send_reports(now)
             self._tick(now)
-            # A takeover's wait ends between heartbeats.
+            # The wait of a takeover can end between two heartbeats.
             waiting = self._view.tracker.waiting
             gevent.sleep(self._timing.heartbeat / (3 if waiting else 1))
 
@@ -309,7 +318,7 @@
         addresses.discard(LinkAddress(self._settings.link))
         return sorted(addresses)
 
-    def _report(self, now: float) -> None:
+    def _send_reports(self, now: float) -> None:
         assigner = self._view.find_assigner(now)
         member = self._view.assignment.members.get(assigner)
         if member is None:
@@ -321,16 +330,16 @@
             if assigner == self._view.host:
                 self._view.note_report(report, now)
             else:
-                self._transport.send(member.link, _write_report(report))
+                self._transport.send(member.link, _encode_report(report))
 
     def _tick(self, now: float) -> None:
         self._renew(now)
-        self._claim_upstreams(now)
+        self._update_tasks(now)
         if self._writer.busy:
             return
-        plan = self._view.plan(now, ChangeId(uuid.uuid4().hex))
-        if plan is not None:
-            self._writer.write(plan)
+        change = self._view.plan(now, ChangeId(uuid.uuid4().hex))
+        if change is not None:
+            self._writer.write(change)
 
     def _renew(self, now: float) -> None:
         authorization = self._view.renew(now)
@@ -339,7 +348,7 @@
 
     # Upstreams
 
-    def _claim_upstreams(self, now: float) -> None:
+    def _update_tasks(self, now: float) -> None:
         wanted = self._view.list_kept(now)
         for name, task in list(self._tasks.items()):
             if name not in wanted:
@@ -382,7 +391,7 @@
             lambda orderer: self._view.outranks(
                 orderer, name, time.monotonic()
             ),
-            lambda: self._report(time.monotonic()),
+            lambda: self._send_reports(time.monotonic()),
         )
         self._tasks[name] = task
         task.update(self._view.renew(now))
@@ -390,19 +399,21 @@
 
     # Requests
 
-    def _take_request(self, request: Request, sender: str, now: float) -> None:
+    def _handle_request(
+        self, request: Request, sender: str, now: float
+    ) -> None:
         def reply(response: Response) -> None:
             self._transport.send(sender, response)
 
         task = self._tasks.get(request.upstream)
-        stranger = request.addressee != self._incarnation
-        if task is None or stranger or self._view.leaving:
+        misdirected = request.addressee != self._incarnation
+        if task is None or misdirected or self._view.leaving:
             reply(
                 Response(
                     request.number,
                     Outcome.NOT_RUN,
                     Reason.NOT_KEEPER,
-                    retry_after=_MOVING_RETRY,
+                    retry_after=_MOVING_RETRY_DELAY,
                 )
             )
             return
--- a/sedgetide/daemons/_dispatcher.py
+++ b/sedgetide/daemons/_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher of an entry: from a caller's request to its outcome."""
+"""Dispatches an entry's requests to keepers, with retries."""
 
 import contextlib
 import itertools
@@ -53,25 +53,26 @@
 from sedgetide.core.requests.retries import RetryBudget
 from sedgetide.core.requests.routing import Match
 from sedgetide.core.requests.routing import Router
+from sedgetide.daemons._heartbeats import HeartbeatHandler
 from sedgetide.daemons._heartbeats import Heartbeats
-from sedgetide.daemons._heartbeats import HeartbeatsOwner
 from sedgetide.daemons._metrics import CONFIGURATION_REVISION
 from sedgetide.daemons._metrics import ENTRY_RETRIES
 from sedgetide.links import Transport
 from sedgetide.runtime.tasks import spawn_vital
 
-_SYNCHRONISED_WITH = 2
-_LINK_USED = 10.0
-_GREETING_TIME = 0.3
-# The keeper answers a request that lapsed in its queue within this time.
+_SYNCED_KEEPERS = 2
+_LINK_USE_WINDOW = 10.0
+_FIRST_PONG_TIMEOUT = 0.3
+# Within this time after the deadline, the keeper answers a request that
+# expired in its queue.
 _ANSWER_GRACE = 0.1
-_PAUSES = (0.01, 0.03, 0.05)
+_RETRY_DELAYS = (0.01, 0.03, 0.05)
 
 _log = logging.getLogger(__name__)
 
 
 class Call(msgspec.Struct):
-    """A caller's request with its rule."""
+    """A caller's request with the route that it matched."""
 
     match: Match
     method: str
@@ -84,7 +85,7 @@
 
 
 class _Target(msgspec.Struct, frozen=True):
-    """Where a request goes next."""
+    """Upstream that a request is to be sent to."""
 
     upstream: UpstreamName
     data_centre: DataCentre
@@ -92,13 +93,13 @@
     epoch: Epoch
 
 
-class _Pending(msgspec.Struct):
+class _PendingRequest(msgspec.Struct):
     address: LinkAddress
     result: AsyncResult
 
 
-class Dispatcher(HeartbeatsOwner):
-    """Knows owners and keepers, and sends each request to the right one.
+class Dispatcher(HeartbeatHandler):
+    """Sends each request to the keeper of the upstream that owns its key.
 
     Parameters
     ----------
@@ -113,21 +114,23 @@
         self._timing = settings.timing
         self._incarnation = incarnation
         self._cache = RecordCache()
-        self._text: Text | None = None
+        self._configuration: Text | None = None
         self._router: Router | None = None
         self._assignments: dict[DataCentre, Assignment] = {}
-        self._pending: dict[RequestId, _Pending] = {}
+        self._pending: dict[RequestId, _PendingRequest] = {}
         self._numbers = itertools.count()
-        self._used: dict[LinkAddress, float] = {}
-        self._answered: dict[LinkAddress, Event] = {}
+        self._last_used: dict[LinkAddress, float] = {}
+        self._pong_events: dict[LinkAddress, Event] = {}
         self._budgets: dict[str, RetryBudget] = {}
-        self._turns = itertools.count()
-        self._ranks: dict[tuple[UpstreamName, int], list[LinkAddress]] = {}
+        self._round_robin = itertools.count()
+        self._ranked_links: dict[
+            tuple[UpstreamName, int], list[LinkAddress]
+        ] = {}
         self._transport = Transport(
             settings.link,
             settings.limits.body_bytes,
             self._handle,
-            self._drop,
+            self._fail_unsent,
         )
         self._heartbeats = Heartbeats(
             self._transport, self._cache, self._timing, self
@@ -136,34 +139,34 @@
         self._stack.callback(self._transport.close)
 
     def start(self) -> None:
-        """Listen and begin to learn from keepers."""
+        """Start the link listener and the heartbeats to keepers."""
         self._transport.start()
         spawn_vital(self._loop, self._stack)
 
     def close(self) -> None:
-        """End all loops and close all links."""
+        """Stop the heartbeats and close all links."""
         self._stack.close()
 
-    # What is known
+    # Known configuration and keepers
 
     @property
     def configured(self) -> bool:
-        """Whether a text and the own data centre's members are known."""
+        """Whether the configuration and the local members are known."""
         known = self._settings.home in self._assignments
         return self._router is not None and known
 
     def has_keeper(self, now: float) -> bool:
-        """Tell whether any keeper answers."""
+        """Return whether any keeper is alive."""
         return bool(self._heartbeats.liveness.list_alive(now))
 
     def match(self, method: str, path: str) -> Match | None:
-        """Find the rule of a request; see :meth:`Router.match`."""
+        """Find the route of a request; see :meth:`Router.match`."""
         if self._router is None:
             return None
         return self._router.match(method, path)
 
     def dump_state(self) -> dict[str, Any]:
-        """Return the state for the dump."""
+        """Return the fields of the state dump."""
         now = time.monotonic()
         return {
             "revisions": self._cache.list_revisions(),
@@ -185,42 +188,51 @@
     def note_status(
         self, address: LinkAddress, asked_at: float, status: Status
     ) -> None:
-        event = self._answered.pop(address, None)
+        event = self._pong_events.pop(address, None)
         if event is not None:
             event.set()
 
     def note_ping(self, address: LinkAddress, status: Status) -> None:
-        """Entries are not asked; there is nothing to take in."""
+        """Do nothing: nobody pings an entry."""
 
     def note_record(self, record: Record) -> None:
         if record.key == CONFIGURATION_KEY:
             content = decode_text(record.value).text.encode()
-            text, problems = check_text(content)
-            if text is None:
-                _log.error("text refused", extra={"problem": problems[0]})
+            configuration, problems = check_text(content)
+            if configuration is None:
+                _log.error(
+                    "invalid configuration ignored",
+                    extra={"problem": problems[0]},
+                )
                 return
-            self._text = text
-            self._router = Router(text)
+            self._configuration = configuration
+            self._router = Router(configuration)
             CONFIGURATION_REVISION.set(record.revision)
         elif record.key.startswith(ASSIGNMENT_PREFIX):
-            centre = DataCentre(record.key.removeprefix(ASSIGNMENT_PREFIX))
-            self._assignments[centre] = decode_assignment(record.value)
-            self._ranks.clear()
+            data_centre = DataCentre(
+                record.key.removeprefix(ASSIGNMENT_PREFIX)
+            )
+            self._assignments[data_centre] = decode_assignment(record.value)
+            self._ranked_links.clear()
 
     # Links
 
     def _loop(self) -> None:
         while True:
             now = time.monotonic()
-            self._heartbeats.ping(self._list_asked(now), now)
-            self._fail_silent(now)
+            self._heartbeats.ping(self._list_ping_targets(now), now)
+            self._fail_requests_to_silent(now)
             gevent.sleep(self._timing.heartbeat)
 
-    def _list_asked(self, now: float) -> list[LinkAddress]:
-        """Return keepers in use, and two of the own data centre."""
-        for address, at in list(self._used.items()):
-            if now - at > _LINK_USED:
-                del self._used[address]
+    def _list_ping_targets(self, now: float) -> list[LinkAddress]:
+        """Return the keepers to ping.
+
+        These are the keepers in use, and two of the local data centre that
+        keep the records of this entry up to date.
+        """
+        for address, at in list(self._last_used.items()):
+            if now - at > _LINK_USE_WINDOW:
+                del self._last_used[address]
         home = self._assignments.get(self._settings.home, EMPTY_ASSIGNMENT)
         hosts = rank_candidates(self._settings.host, home.members)
         links = [home.members[host].link for host in hosts]
@@ -229,14 +241,14 @@
             for link in links
             if self._heartbeats.find_state(link, now) is not PeerState.SILENT
         ]
-        asked = set(self._used)
-        asked.update((alive or links)[:_SYNCHRONISED_WITH])
+        targets = set(self._last_used)
+        targets.update((alive or links)[:_SYNCED_KEEPERS])
         if not alive:
-            asked.update(LinkAddress(a) for a in self._settings.keepers)
-        return sorted(asked)
+            targets.update(LinkAddress(a) for a in self._settings.keepers)
+        return sorted(targets)
 
-    def _fail_silent(self, now: float) -> None:
-        """End requests whose keeper fell silent; they need not wait."""
+    def _fail_requests_to_silent(self, now: float) -> None:
+        """Fail at once the requests whose keeper has gone silent."""
         silent = set()
         for address in {each.address for each in self._pending.values()}:
             if self._heartbeats.find_state(address, now) is PeerState.SILENT:
@@ -250,45 +262,46 @@
     def _handle(self, message: AnyMessage, sender: str) -> None:
         if isinstance(message, Response):
             pending = self._pending.get(message.number)
-            # An answer that comes late has nobody left to go to.
+            # The request of a late response is no longer pending.
             if pending is not None:
                 pending.result.set(message)
             return
         self._heartbeats.handle(message, sender, time.monotonic())
 
-    def _drop(self, message: Message) -> None:
-        """End a request that was never handed over."""
+    def _fail_unsent(self, message: Message) -> None:
+        """Fail a request that the transport dropped unsent."""
         if not isinstance(message, Request):
             return
         pending = self._pending.get(message.number)
         if pending is not None:
             pending.result.set(self._refuse(Reason.OVERLOAD))
 
-    def _greet(self, address: LinkAddress, deadline: float) -> bool:
-        """Make sure that a keeper answers before a request is sent to it.
+    def _wait_for_pong(self, address: LinkAddress, deadline: float) -> bool:
+        """Return whether a keeper is alive; wait for its first pong if needed.
 
-        Its clock and incarnation are needed for the request's expiry.
+        A request carries the keeper's incarnation, and its expiry by the
+        keeper's clock; both are taken from a pong.
         """
         now = time.monotonic()
-        self._used[address] = now
+        self._last_used[address] = now
         state = self._heartbeats.find_state(address, now)
         if state is not PeerState.SILENT:
             return state is PeerState.ALIVE
         if self._heartbeats.is_known_silent(address, now):
-            # Waiting once more would only delay the refusal.
+            # Another wait would only delay the refusal.
             return False
-        event = self._answered.get(address)
+        event = self._pong_events.get(address)
         if event is None:
-            event = self._answered[address] = Event()
+            event = self._pong_events[address] = Event()
             self._heartbeats.ping([address], now)
-        event.wait(min(_GREETING_TIME, max(0.0, deadline - now)))
+        event.wait(min(_FIRST_PONG_TIMEOUT, max(0.0, deadline - now)))
         now = time.monotonic()
         return self._heartbeats.find_state(address, now) is PeerState.ALIVE
 
     # Requests
 
     def dispatch(self, call: Call) -> Response:
-        """Bring a request to its final outcome.
+        """Send a request, with retries, and return its final outcome.
 
         Parameters
         ----------
@@ -298,25 +311,25 @@
         Returns
         -------
         Response
-            Never later than shortly after the deadline.
+            Returned at the latest shortly after the deadline.
         """
         budget = self._find_budget(call.match.service.name)
         budget.note_request()
         declined: set[LinkAddress] = set()
         outcome = Outcome.NOT_RUN
-        for turn in itertools.count():
+        for attempt in itertools.count():
             response = self._attempt(call, declined)
             outcome = combine_outcomes(outcome, response.outcome)
             response = msgspec.structs.replace(response, outcome=outcome)
             if not self._may_repeat(call, response, budget):
                 return response
-            pause = _PAUSES[min(turn, len(_PAUSES) - 1)]
-            if time.monotonic() + pause >= call.deadline:
+            delay = _RETRY_DELAYS[min(attempt, len(_RETRY_DELAYS) - 1)]
+            if time.monotonic() + delay >= call.deadline:
                 return response
             ENTRY_RETRIES.labels(
                 call.match.service.name, response.reason.value
             ).inc()
-            gevent.sleep(pause)
+            gevent.sleep(delay)
         raise AssertionError("unreachable")
 
     def _find_budget(self, service: str) -> RetryBudget:
@@ -333,8 +346,8 @@
         if not may_resend(response.outcome, call.match.route.idempotent):
             return False
         if response.reason in TRANSIENT_REASONS:
-            # This attempt did not run, so the only cost is the wait for a
-            # handover; any other refusal is final and goes back at once.
+            # This attempt did not run, so a retry costs only the wait for a
+            # handover. Any other refusal is final and returned at once.
             return True
         return response.reason in UNCERTAIN_REASONS and budget.spend()
 
@@ -344,12 +357,12 @@
             return self._refuse(target)
         address = self._find_keeper(target, call.deadline, declined)
         if address is None:
-            return self._refuse(self._explain_absence(target))
+            return self._refuse(self._find_unreachable_reason(target))
         if address in declined:
-            # All have declined; ask from the first one again.
+            # All keepers have declined; start over with the first one.
             declined.clear()
         status = self._heartbeats.statuses[address]
-        response = self._exchange(call, target, address, status)
+        response = self._send_request(call, target, address, status)
         if response.reason is Reason.NOT_KEEPER:
             declined.add(address)
         return response
@@ -365,37 +378,37 @@
     def _find_target(self, call: Call) -> _Target | Reason:
         service = call.match.service
         if not service.keyed:
-            return self._choose_any(service)
+            return self._choose_round_robin(service)
         shard = find_shard(call.match.key, service.shards)
-        centre = find_home(shard, service.homes)
+        data_centre = find_home(shard, service.homes)
         key = ShardKey(ServiceName(service.name), shard)
-        assignment = self._assignments.get(centre, EMPTY_ASSIGNMENT)
+        assignment = self._assignments.get(data_centre, EMPTY_ASSIGNMENT)
         owner = assignment.find_owner(key)
         if owner is None:
             return Reason.NO_OWNER
         if owner.state is ShardState.RELEASING:
             return Reason.MOVING
-        return _Target(owner.upstream, centre, key, owner.epoch)
+        return _Target(owner.upstream, data_centre, key, owner.epoch)
 
-    def _choose_any(self, service: Service) -> _Target | Reason:
-        """Choose an upstream of a service without keys, in turn.
+    def _choose_round_robin(self, service: Service) -> _Target | Reason:
+        """Choose an upstream of a service without keys, by round-robin.
 
-        Those of the own data centre come first.
+        Upstreams of the local data centre are preferred.
         """
         active = [
             each
             for each in service.upstreams
             if each.state is UpstreamState.ACTIVE
         ]
-        near = [
+        local = [
             each
             for each in active
             if each.data_centre == self._settings.data_centre
         ]
         if not active:
             return Reason.NO_OWNER
-        choice = near or active
-        upstream = choice[next(self._turns) % len(choice)]
+        choice = local or active
+        upstream = choice[next(self._round_robin) % len(choice)]
         return _Target(
             UpstreamName(upstream.name),
             DataCentre(upstream.data_centre),
@@ -406,28 +419,29 @@
     def _find_keeper(
         self, target: _Target, deadline: float, declined: set[LinkAddress]
     ) -> LinkAddress | None:
-        """Return the link of the first keeper that answers.
+        """Return the link of the first keeper that is alive.
 
         Parameters
         ----------
         declined : set of LinkAddress
-            Keepers that said in this call that they do not keep the
-            upstream; they come last.
+            Keepers that answered this request with not-keeper; they are
+            tried last.
         """
         assignment = self._assignments.get(
             target.data_centre, EMPTY_ASSIGNMENT
         )
         links = self._rank_links(target.upstream, assignment)
         for link in sorted(links, key=declined.__contains__):
-            if self._greet(link, deadline):
+            if self._wait_for_pong(link, deadline):
                 return link
         return None
 
-    def _explain_absence(self, target: _Target) -> Reason:
-        """Return why no keeper of a data centre answers.
+    def _find_unreachable_reason(self, target: _Target) -> Reason:
+        """Return the reason why no keeper of a data centre is alive.
 
-        Only one that was asked for long counts as cut off; a first answer
-        that is slow to come is worth another try within the deadline.
+        The data centre counts as cut off only when all its keepers have left
+        pings unanswered for too long. A keeper whose first pong is merely
+        late is worth a retry within the deadline.
         """
         assignment = self._assignments.get(
             target.data_centre, EMPTY_ASSIGNMENT
@@ -435,7 +449,7 @@
         now = time.monotonic()
         links = self._rank_links(target.upstream, assignment)
         if not links:
-            # Nothing has been heard of the data centre yet.
+            # The assignment of the data centre is not known yet.
             return Reason.NO_OWNER
         silent = all(
             self._heartbeats.is_known_silent(link, now) for link in links
@@ -445,16 +459,16 @@
     def _rank_links(
         self, upstream: UpstreamName, assignment: Assignment
     ) -> list[LinkAddress]:
-        """Return the keepers' links, best first, remembered per version."""
+        """Return the keepers' links, best first, cached per assignment."""
         key = (upstream, id(assignment))
-        links = self._ranks.get(key)
+        links = self._ranked_links.get(key)
         if links is None:
             hosts = rank_candidates(upstream, assignment.members)
             links = [assignment.members[host].link for host in hosts]
-            self._ranks[key] = links
+            self._ranked_links[key] = links
         return links
 
-    def _exchange(
+    def _send_request(
         self,
         call: Call,
         target: _Target,
@@ -464,7 +478,7 @@
         number = RequestId(f"{self._incarnation}-{next(self._numbers)}")
         now = time.monotonic()
         request = self._make_request(call, target, status, number, address)
-        pending = _Pending(address, AsyncResult())
+        pending = _PendingRequest(address, AsyncResult())
         self._pending[number] = pending
         try:
             self._transport.send(address, request)
@@ -493,8 +507,8 @@
             target.upstream,
             target.shard,
             target.epoch,
-            self._translate(call.deadline, address, status),
-            self._text.find_priority(route.priority_class),
+            self._convert_deadline(call.deadline, address, status),
+            self._configuration.find_priority(route.priority_class),
             route.idempotent,
             call.method,
             call.path,
@@ -504,14 +518,14 @@
             call.first_attempt,
         )
 
-    def _translate(
+    def _convert_deadline(
         self, deadline: float, address: LinkAddress, status: Status
     ) -> float:
-        """Return a time of the own clock by a keeper's clock.
+        """Convert a deadline from the local clock to a keeper's clock.
 
-        The keeper read its clock before its answer came here, so this never
-        is later than the deadline: a request that waited in a buffer is not
-        begun after its caller was told the outcome.
+        The keeper read its clock before its pong arrived, so the result is
+        never later than the deadline: a request delayed in a buffer is not
+        begun after its caller has received the outcome.
         """
-        received = self._heartbeats.find_receipt(address)
+        received = self._heartbeats.find_pong_time(address)
         return status.clock + (deadline - received)
--- a/sedgetide/daemons/_heartbeats.py
+++ b/sedgetide/daemons/_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats and the spread of records between processes."""
+"""Heartbeats between processes, and replication of records with them."""
 
 import abc
 from collections.abc import Iterable
@@ -21,41 +21,41 @@
 _log = logging.getLogger(__name__)
 
 
-class HeartbeatsOwner(abc.ABC):
-    """The process a heartbeats speaks for."""
+class HeartbeatHandler(abc.ABC):
+    """Supplies the status to send and receives what peers send."""
 
     @abc.abstractmethod
     def make_status(self, now: float) -> Status:
-        """Return what the process says of itself."""
+        """Return the status sent with each heartbeat."""
 
     @abc.abstractmethod
     def note_status(
         self, address: LinkAddress, asked_at: float, status: Status
     ) -> None:
-        """Take in the answer of a peer."""
+        """Handle the status in a peer's answer to a ping."""
 
     @abc.abstractmethod
     def note_ping(self, address: LinkAddress, status: Status) -> None:
-        """Take in what a peer says of itself in its question."""
+        """Handle the status in a peer's ping."""
 
     @abc.abstractmethod
     def note_record(self, record: Record) -> None:
-        """Take in a newer version of a record."""
+        """Handle a newer version of a record."""
 
 
 class Heartbeats:
-    """Asks peers for a sign of life and hands records on.
+    """Pings peers and replicates records between processes.
 
     Parameters
     ----------
     transport : Transport
-        Links of the process.
+        Links to other processes.
     cache : RecordCache
-        Records of the process.
+        Records known to this process.
     timing : Timing
-        Intervals.
-    owner : HeartbeatsOwner
-        The process.
+        Heartbeat interval and silence timeout.
+    owner : HeartbeatHandler
+        Supplies the status; notified of peers and records.
     """
 
     def __init__(
@@ -63,23 +63,24 @@
         transport: Transport,
         cache: RecordCache,
         timing: Timing,
-        owner: HeartbeatsOwner,
+        handler: HeartbeatHandler,
     ) -> None:
         self._transport = transport
         self._cache = cache
         self._timing = timing
-        self._owner = owner
-        # First and last question of an unbroken row of questions.
-        self._asked: dict[LinkAddress, tuple[float, float]] = {}
+        self._handler = handler
+        # First and last ping of a series without a gap longer than the
+        # silence timeout.
+        self._ping_spans: dict[LinkAddress, tuple[float, float]] = {}
         self.liveness = Liveness(timing.silence)
         self.statuses: dict[LinkAddress, Status] = {}
-        self._received: dict[LinkAddress, float] = {}
+        self._pong_times: dict[LinkAddress, float] = {}
 
     def ping(self, addresses: Iterable[LinkAddress], now: float) -> None:
-        """Ask peers for a sign of life."""
-        status = self._owner.make_status(now)
+        """Send a ping to each peer."""
+        status = self._handler.make_status(now)
         for address in addresses:
-            first = self._note_question(address, now)
+            first = self._record_ping(address, now)
             silent_seconds = min(
                 self.liveness.measure_silence(address, now), now - first
             )
@@ -89,49 +90,49 @@
                 self._transport.redial(address, 2 * self._timing.silence)
             self._transport.send(address, Ping(now, silent_seconds, status))
 
-    def _note_question(self, address: LinkAddress, now: float) -> float:
-        """Return since when a peer has been asked without a break."""
-        first, last = self._asked.get(address, (now, now))
+    def _record_ping(self, address: LinkAddress, now: float) -> float:
+        """Record a ping; return when the current series of pings began."""
+        first, last = self._ping_spans.get(address, (now, now))
         if now - last > self._timing.silence:
             first = now
-        self._asked[address] = (first, now)
+        self._ping_spans[address] = (first, now)
         return first
 
     def push(
         self, addresses: Iterable[LinkAddress], records: list[Record]
     ) -> None:
-        """Send records to peers without being asked."""
+        """Send records to peers that have not requested them."""
         for address in addresses:
             self._transport.send(address, Records(records))
 
     def find_state(self, address: LinkAddress, now: float) -> PeerState:
-        """Return the state of a peer."""
+        """Return whether a peer is alive, leaving or silent."""
         return self.liveness.find_state(address, now)
 
-    def find_receipt(self, address: LinkAddress) -> float:
-        """Return when the last answer of a peer came."""
-        return self._received[address]
+    def find_pong_time(self, address: LinkAddress) -> float:
+        """Return when the last pong of a peer arrived."""
+        return self._pong_times[address]
 
     def is_known_silent(self, address: LinkAddress, now: float) -> bool:
-        """Tell whether a peer is being asked, for long and in vain.
+        """Tell whether a peer has left pings unanswered for too long.
 
-        One that has merely not been asked of late may well be alive.
+        A peer that was not pinged recently is not known to be silent.
         """
-        asked = self._asked.get(address)
-        if asked is None or now - asked[1] > self._timing.silence:
+        span = self._ping_spans.get(address)
+        if span is None or now - span[1] > self._timing.silence:
             return False
-        if now - asked[0] <= self._timing.silence:
+        if now - span[0] <= self._timing.silence:
             return False
         return self.find_state(address, now) is PeerState.SILENT
 
     def handle(self, message: AnyMessage, sender: str, now: float) -> None:
-        """Take in a message of this protocol; ignore all others."""
+        """Handle a message of this protocol; ignore all others."""
         address = LinkAddress(sender)
         match message:
             case Ping():
-                self._answer(message, address, now)
+                self._answer_ping(message, address, now)
             case Pong():
-                self._note_answer(message, address, now)
+                self._handle_pong(message, address, now)
             case Pull():
                 newer = list(self._cache.list_newer(message.revisions))
                 if newer:
@@ -140,37 +141,39 @@
                 self.apply(message.records)
 
     def apply(self, records: Iterable[Record]) -> list[Record]:
-        """Put records in force; return those that were newer."""
+        """Apply records; return those that were newer than the cached ones."""
         newer = [each for each in records if self._cache.apply(each)]
         for record in newer:
             _log.info(
                 "record applied",
                 extra={"key": record.key, "revision": record.revision},
             )
-            self._owner.note_record(record)
+            self._handler.note_record(record)
         return newer
 
-    def _answer(self, ping: Ping, address: LinkAddress, now: float) -> None:
+    def _answer_ping(
+        self, ping: Ping, address: LinkAddress, now: float
+    ) -> None:
         if ping.silent_seconds > self._timing.silence:
-            # The way back may be the one that is silent, and only the
-            # sender of the ping can notice it.
+            # Our answers may be the ones that get lost, which only the
+            # sender of the ping can notice.
             self._transport.redial(address, 2 * self._timing.silence)
-        status = self._owner.make_status(now)
+        status = self._handler.make_status(now)
         self._transport.send(address, Pong(ping.asked_at, status))
-        self._owner.note_ping(address, ping.status)
-        self._compare(ping.status, address)
+        self._handler.note_ping(address, ping.status)
+        self._pull_if_different(ping.status, address)
 
-    def _note_answer(
+    def _handle_pong(
         self, pong: Pong, address: LinkAddress, now: float
     ) -> None:
         status = pong.status
         self.statuses[address] = status
-        self._received[address] = now
+        self._pong_times[address] = now
         self.liveness.note_answer(address, pong.asked_at, status.leaving)
-        self._owner.note_status(address, pong.asked_at, status)
-        self._compare(status, address)
+        self._handler.note_status(address, pong.asked_at, status)
+        self._pull_if_different(status, address)
 
-    def _compare(self, status: Status, address: LinkAddress) -> None:
+    def _pull_if_different(self, status: Status, address: LinkAddress) -> None:
         if status.digest and status.digest != self._cache.digest:
             pull = Pull(self._cache.list_revisions())
             self._transport.send(address, pull)
--- a/sedgetide/daemons/_process.py
+++ b/sedgetide/daemons/_process.py
@@ -1,4 +1,4 @@
-"""What the main programs of the daemons share."""
+"""Start-up and stop code shared by the entry and the keeper."""
 
 import argparse
 import logging
@@ -29,21 +29,22 @@
     kind: type[SettingsT],
     arguments: list[str] | None,
 ) -> SettingsT:
-    """Read the settings named on the command line.
+    """Load the settings file named on the command line.
 
     Parameters
     ----------
     program, description : str
-        For the help.
+        Program name and description shown by ``--help``.
     kind : type
-        Settings to read.
+        Class of the settings.
     arguments : list of str or None
-        Command line; None for that of the process.
+        Command-line arguments; None for those of the process.
 
     Raises
     ------
     SystemExit
-        With code 2 after one line on standard error when they are wrong.
+        With code 2, after one line on standard error, when the settings
+        are invalid.
     """
     parser = argparse.ArgumentParser(prog=program, description=description)
     parser.add_argument("settings", help="JSON file of settings")
@@ -67,5 +68,8 @@
 
 
 def make_incarnation() -> str:
-    """Return a unique id for this process, short for heartbeats."""
+    """Return a unique id for this process.
+
+    It is short because every heartbeat carries it.
+    """
     return secrets.token_hex(_INCARNATION_BYTES)
--- a/sedgetide/daemons/_upstreamtask.py
+++ b/sedgetide/daemons/_upstreamtask.py
@@ -1,4 +1,4 @@
-"""The task of a keeper that owns one upstream."""
+"""The task of a keeper that serves one upstream."""
 
 from collections.abc import Callable
 import contextlib
@@ -47,15 +47,15 @@
 from sedgetide.daemons._metrics import UPSTREAM_ERRORS
 from sedgetide.runtime.tasks import spawn_vital
 
-_FIRST_ESTIMATE = 0.005
-_QUEUE_TICK = 0.02
-_CANCEL_TIME = 0.05
-_MOVING_RETRY = 0.1
+_INITIAL_SERVICE_TIME = 0.005
+_QUEUE_POLL_INTERVAL = 0.02
+_CANCEL_TIMEOUT = 0.05
+_MOVING_RETRY_DELAY = 0.1
 _MILLISECONDS = 1000.0
 
 _log = logging.getLogger(__name__)
 
-_DECLINED = {
+_DECLINE_REASONS = {
     "shed": Reason.SHED,
     "no-grant": Reason.NO_GRANT,
     "stale-epoch": Reason.STALE_EPOCH,
@@ -91,13 +91,14 @@
     upstream : Upstream
         The upstream.
     client : UpstreamClient
-        Connections, owned by the task.
+        Client of the upstream; the task closes it.
     settings : KeeperSettings
-        Durations and bounds.
+        Timing and limits.
     outranks : callable
         See :class:`~sedgetide.core.ownership.leasing.UpstreamLease`.
-    tell_news : callable
-        Called when the assigner should hear of the upstream at once.
+    report_now : callable
+        Called to report the upstream's state to the assigner without
+        waiting for the next heartbeat.
     """
 
     def __init__(
@@ -108,9 +109,9 @@
         client: UpstreamClient,
         settings: KeeperSettings,
         outranks: Callable[[str], bool],
-        tell_news: Callable[[], None],
+        report_now: Callable[[], None],
     ) -> None:
-        self._tell_news = tell_news
+        self._report_now = report_now
         self.name = UpstreamName(upstream.name)
         self.service = service
         self.upstream = upstream
@@ -127,21 +128,21 @@
         self._client = client
         self._timing = timing
         self._queue: UpstreamQueue[_Job] = UpstreamQueue(
-            service.slots, limits.queue, _FIRST_ESTIMATE
+            service.slots, limits.queue, _INITIAL_SERVICE_TIME
         )
         self._operations: OperationLog[Response] = OperationLog(
             limits.operation_window, limits.operations, limits.clock_skew
         )
         self._jobs: dict[RequestId, _Job] = {}
-        self._joined: dict[str, list[_Job]] = {}
+        self._joined_jobs: dict[str, list[_Job]] = {}
         self._running: set[gevent.Greenlet] = set()
         self._retired = False
-        self._woken = Event()
+        self._authorization_changed = Event()
         self._stack = contextlib.ExitStack()
         self._stack.callback(client.close)
 
     def start(self) -> None:
-        """Begin to renew grants and to serve."""
+        """Start renewing grants and serving requests."""
         for loop in (self._renew_loop, self._queue_loop):
             spawn_vital(loop, self._stack)
 
@@ -151,12 +152,12 @@
         upstream: Upstream,
         client: UpstreamClient | None,
     ) -> None:
-        """Take over changed settings; operations and grants stay known.
+        """Apply changed settings; operations and grants are kept.
 
         Parameters
         ----------
         client : UpstreamClient or None
-            Connections to the new address, when that changed.
+            Client for the new address; None when it is unchanged.
         """
         self.service = service
         self.upstream = upstream
@@ -168,29 +169,29 @@
         self._dispatch()
 
     def retire(self) -> None:
-        """Give no more orders; what waits is answered as not run."""
+        """Send no more orders, and refuse queued requests as not run."""
         self._retired = True
         self.lease.retire()
         for job in self._queue.clear():
-            self._refuse(job, Reason.NOT_KEEPER, _MOVING_RETRY)
+            self._refuse(job, Reason.NOT_KEEPER, _MOVING_RETRY_DELAY)
 
     def close(self) -> None:
-        """Stop all that runs and close the connections."""
+        """Stop all loops and close the connections."""
         self.retire()
         self._stack.close()
 
     @property
     def idle(self) -> bool:
-        """Whether no request is in hand."""
+        """Whether no request is open."""
         return not self._jobs
 
     def update(self, authorization: Authorization) -> None:
-        """Take in what may be acted on from now on."""
+        """Apply a new authorization of this keeper."""
         if self.lease.update(authorization):
-            self._woken.set()
+            self._authorization_changed.set()
 
     def dump_state(self) -> dict[str, Any]:
-        """Return the state for the dump."""
+        """Return the fields of the state dump."""
         now = time.monotonic()
         return {
             "upstream": self.name,
@@ -211,10 +212,10 @@
     def submit(
         self, request: Request, reply: Callable[[Response], None], now: float
     ) -> None:
-        """Queue a request, or answer it at once."""
+        """Queue a request, or refuse it at once."""
         job = _Job(request, reply)
         if self.lease.standing_back:
-            self._refuse(job, Reason.NOT_KEEPER, _MOVING_RETRY)
+            self._refuse(job, Reason.NOT_KEEPER, _MOVING_RETRY_DELAY)
             return
         refusal = self._queue.offer(
             job, request.priority, request.expires, now
@@ -226,7 +227,7 @@
         self._dispatch()
 
     def cancel(self, number: RequestId) -> None:
-        """Drop a request its sender no longer waits for."""
+        """Remove a queued request whose sender no longer waits for it."""
         job = self._jobs.get(number)
         if job is not None and self._queue.remove(job):
             self._refuse(job, Reason.CANCELLED, 0.0)
@@ -243,8 +244,8 @@
     def _run(self, job: _Job) -> None:
         began = time.monotonic()
         answered = False
-        # Only from here on may it be ended from outside: a greenlet killed
-        # before its first step never frees its slot or answers its caller.
+        # Registered only once it runs: a greenlet killed before its first
+        # step would never free its slot or answer its caller.
         self._running.add(gevent.getcurrent())
         try:
             answered = self._serve(job)
@@ -273,7 +274,7 @@
                 job.owns_operation = True
                 return self._send(job)
             case Admission.JOIN:
-                waiting = self._joined.setdefault(request.operation, [])
+                waiting = self._joined_jobs.setdefault(request.operation, [])
                 waiting.append(job)
             case Admission.REPEAT:
                 remembered = self._operations.find_answer(request.operation)
@@ -287,15 +288,17 @@
     def _send(self, job: _Job) -> bool:
         request, lease = job.request, self.lease
         now = time.monotonic()
-        obstacle = lease.find_refusal_reason(
+        refusal_reason = lease.find_refusal_reason(
             request.shard, request.expires, now
         )
-        if obstacle is not None:
-            self._refuse(job, obstacle, _MOVING_RETRY)
+        if refusal_reason is not None:
+            self._refuse(job, refusal_reason, _MOVING_RETRY_DELAY)
             return False
         epoch = lease.find_epoch(request.shard)
-        limit = lease.find_send_deadline(request.shard, request.expires)
-        work = UpstreamRequest(
+        send_deadline = lease.find_send_deadline(
+            request.shard, request.expires
+        )
+        upstream_request = UpstreamRequest(
             request.number,
             request.method,
             request.path,
@@ -309,8 +312,8 @@
         job.phase = Phase.HANDED_OVER
         try:
             result = self._client.run(
-                OrderContext(self._orderer, lease.token.stamp, limit),
-                work,
+                OrderContext(self._orderer, lease.token.stamp, send_deadline),
+                upstream_request,
                 request.expires - now,
                 fresh=not request.idempotent,
             )
@@ -326,7 +329,7 @@
     ) -> bool:
         if result.declined:
             job.phase = Phase.DECLINED
-            reason = _DECLINED.get(result.declined, Reason.SHED)
+            reason = _DECLINE_REASONS.get(result.declined, Reason.SHED)
             self._refuse(job, reason, self._queue.service_time)
             return False
         job.phase = Phase.ANSWERED
@@ -341,7 +344,7 @@
             self.name,
             epoch,
         )
-        self._settle(job, response)
+        self._complete(job, response)
         return True
 
     def _handle_failure(self, job: _Job, error: UpstreamError) -> None:
@@ -353,14 +356,14 @@
         reason = Reason.BAD_ANSWER
         if error.code is ErrorCode.UPSTREAM_SILENT:
             reason = Reason.SILENT
-            if self._cancel_begun(job.request.number):
+            if self._cancel_if_not_begun(job.request.number):
                 job.phase = Phase.DECLINED
         self._finish(job, judge_failure(job.phase), reason)
 
-    def _cancel_begun(self, number: str) -> bool:
-        """Tell whether the upstream confirms that it never began."""
+    def _cancel_if_not_begun(self, number: str) -> bool:
+        """Cancel a request; return whether the upstream never began it."""
         try:
-            return self._client.cancel(number, _CANCEL_TIME)
+            return self._client.cancel(number, _CANCEL_TIMEOUT)
         except UpstreamError:
             return False
 
@@ -381,23 +384,23 @@
             owner=self.name,
             retry_after=retry_after,
         )
-        self._settle(job, response)
+        self._complete(job, response)
 
-    def _settle(self, job: _Job, response: Response) -> None:
-        # Only the job that began the operation may end it: another with
-        # the same id that lapsed in the queue would free the id while the
-        # first still runs, and a third would run it again.
+    def _complete(self, job: _Job, response: Response) -> None:
+        # Only the job that began the operation may complete it. If another
+        # job with the same id that expired in the queue released the id, a
+        # third could run the operation again while the first still runs.
         if job.owns_operation:
-            self._settle_operation(job, response)
+            self._complete_operation(job, response)
         self._reply(job, response)
 
-    def _settle_operation(self, job: _Job, response: Response) -> None:
+    def _complete_operation(self, job: _Job, response: Response) -> None:
         operation = job.request.operation
         if response.outcome is Outcome.NOT_RUN:
             self._operations.withdraw(operation)
         else:
             self._operations.finish(operation, response)
-        for other in self._joined.pop(operation, ()):
+        for other in self._joined_jobs.pop(operation, ()):
             self._reply(other, response)
 
     def _reply(self, job: _Job, response: Response) -> None:
@@ -410,40 +413,40 @@
 
     def _queue_loop(self) -> None:
         while True:
-            gevent.sleep(_QUEUE_TICK)
+            gevent.sleep(_QUEUE_POLL_INTERVAL)
             if not len(self._queue):
                 continue
             late = self._queue.remove_expired(time.monotonic())
             for job in late:
                 self._refuse(job, Reason.DEADLINE, self._queue.service_time)
 
-    # Orders
+    # Control calls
 
     def _renew_loop(self) -> None:
         while not self._retired:
             call = self.lease.next_call(time.monotonic())
-            answered = self._order(call)
+            answered = self._make_control_call(call)
             following = self.lease.next_call(time.monotonic())
             if answered and following.kind is not call.kind:
                 continue
             if not answered and self.lease.health is not Health.LOST:
-                # The failed call closed its connection; whether a new one
-                # works decides between a lost link and a lost upstream.
-                gevent.sleep(_QUEUE_TICK)
+                # The failed call closed its connection. A retry on a new
+                # one tells a lost connection from a lost upstream.
+                gevent.sleep(_QUEUE_POLL_INTERVAL)
                 continue
-            self._woken.wait(self._timing.heartbeat)
-            self._woken.clear()
+            self._authorization_changed.wait(self._timing.heartbeat)
+            self._authorization_changed.clear()
 
-    def _order(self, call: ControlCall) -> bool:
+    def _make_control_call(self, call: ControlCall) -> bool:
         """Make a control call; return whether it was answered."""
         asked_at = time.monotonic()
         health = self.lease.health
         try:
-            status = self._call(call)
+            status = self._send_control_call(call)
         except UpstreamError as error:
             if error.code is not ErrorCode.TOO_LATE:
                 self.lease.note_failure(time.monotonic())
-            self._note_health(health)
+            self._handle_health_change(health)
             return False
         received_at = time.monotonic()
         answer = ControlAnswer(
@@ -455,17 +458,17 @@
         if self.lease.note_answer(call, answer):
             self._operations.end_tenures()
             _log.info(
-                "orders taken over",
+                "upstream restarted or taken over from another keeper",
                 extra={"upstream": self.name, "from": status.orderer},
             )
         if call.kind is ControlCallKind.GRANT:
             self._begin_tenures(call, answer)
         elif call.kind is ControlCallKind.RELEASE:
-            self._tell_news()
-        self._note_health(health)
+            self._report_now()
+        self._handle_health_change(health)
         return True
 
-    def _call(self, call: ControlCall) -> UpstreamStatus:
+    def _send_control_call(self, call: ControlCall) -> UpstreamStatus:
         timeout = self._timing.silence / 2
         if call.kind is ControlCallKind.STATUS:
             return self._client.fetch_status(timeout)
@@ -482,29 +485,29 @@
             if key not in answer.refused:
                 self._operations.begin_tenure(key, epoch, wall)
 
-    def _note_health(self, before: Health) -> None:
+    def _handle_health_change(self, before: Health) -> None:
         health = self.lease.health
         if health is before:
             return
         _log.info(
-            "upstream health",
+            "upstream health changed",
             extra={"peer": self.name, "state": health.value},
         )
         if health is Health.LOST:
-            self._give_up_running()
-            self._tell_news()
+            self._fail_running_requests()
+            self._report_now()
 
-    def _give_up_running(self) -> None:
-        """End requests whose answers a lost upstream still owes.
+    def _fail_running_requests(self) -> None:
+        """Fail the requests that a lost upstream has not answered.
 
-        It may be frozen with the requests in its hands. Their callers would
-        wait until the deadline for an owner that is being replaced.
+        The upstream may be frozen. Without this, their callers would wait
+        until the deadline for an owner that is being replaced.
         """
         lost = UpstreamError(
             ErrorCode.UPSTREAM_SILENT,
             Step.ANSWER,
             self.upstream.address,
-            "upstream lost",
+            "upstream lost while a request was running",
             sent=True,
         )
         for task in list(self._running):
--- a/sedgetide/daemons/entry.py
+++ b/sedgetide/daemons/entry.py
@@ -1,4 +1,4 @@
-"""The entry: takes requests of callers and tells their outcomes."""
+"""The entry: accepts requests of callers and answers with the outcome."""
 
 import contextlib
 import logging
@@ -21,8 +21,8 @@
 from sedgetide.daemons._process import wait_for_stop
 from sedgetide.runtime.sockets import open_listener
 
-_POLL = 0.02
-# Connections that are open but idle come on top of requests in hand.
+_POLL_INTERVAL = 0.02
+# Leaves room for idle connections besides those with an open request.
 _CONNECTIONS_PER_REQUEST = 4
 
 _log = logging.getLogger(__name__)
@@ -62,13 +62,17 @@
         stack.callback(self._server.stop, timeout=1.0)
 
     def drain(self) -> None:
-        """Let the balancer notice, then let the work in hand end."""
+        """Report not ready, then stop accepting and finish open requests.
+
+        The notice gives the load balancer time to see the readiness probe
+        fail.
+        """
         self._frontend.closing = True
         gevent.sleep(self._settings.limits.drain_notice)
         self._server.stop_accepting()
         deadline = time.monotonic() + self._settings.limits.drain
         while self._frontend.in_hand and time.monotonic() < deadline:
-            gevent.sleep(_POLL)
+            gevent.sleep(_POLL_INTERVAL)
         _log.info("drained", extra={"in_hand": self._frontend.in_hand})
 
     def is_ready(self) -> bool:
@@ -88,7 +92,7 @@
 
 
 def run_entry(settings: EntrySettings) -> int:
-    """Run an entry until it is told to stop; return its exit code."""
+    """Run an entry until SIGTERM or SIGINT; return its exit code."""
     with contextlib.ExitStack() as stack:
         entry = Entry(settings)
         entry.start(stack)
--- a/sedgetide/daemons/keeper.py
+++ b/sedgetide/daemons/keeper.py
@@ -1,4 +1,4 @@
-"""The keeper: grants, queues and connections of upstreams; assignment."""
+"""The keeper: renews grants, queues requests, assigns shards."""
 
 import contextlib
 import logging
@@ -13,26 +13,26 @@
 from sedgetide.daemons._process import read_settings
 from sedgetide.daemons._process import wait_for_stop
 
-_POLL = 0.02
+_POLL_INTERVAL = 0.02
 
 _log = logging.getLogger(__name__)
 
 
 def _drain(control: Control, settings: KeeperSettings) -> None:
-    """Let peers take over and the work in hand end."""
+    """Wait until peers have taken over and open requests have ended."""
     control.begin_leaving()
-    began = time.monotonic()
+    started_at = time.monotonic()
     notice = settings.limits.drain_notice
-    while time.monotonic() - began < settings.limits.drain:
-        waited = time.monotonic() - began
+    while time.monotonic() - started_at < settings.limits.drain:
+        waited = time.monotonic() - started_at
         if control.idle and waited >= notice:
             break
-        gevent.sleep(_POLL)
+        gevent.sleep(_POLL_INTERVAL)
     _log.info("drained", extra={"idle": control.idle})
 
 
 def run_keeper(settings: KeeperSettings) -> int:
-    """Run a keeper until it is told to stop.
+    """Run a keeper until SIGTERM or SIGINT.
 
     Returns
     -------
--- a/tests/daemons/test_heartbeats.py
+++ b/tests/daemons/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Tests of heartbeats, with a passed-in time and no sockets."""
+"""Tests of heartbeats with explicit times and without sockets."""
 
 import testtools
 
@@ -14,8 +14,8 @@
 from sedgetide.core.identifiers import LinkAddress
 from sedgetide.core.identifiers import Revision
 from sedgetide.core.timing import Timing
+from sedgetide.daemons._heartbeats import HeartbeatHandler
 from sedgetide.daemons._heartbeats import Heartbeats
-from sedgetide.daemons._heartbeats import HeartbeatsOwner
 
 PEER = LinkAddress("10.0.0.2:1")
 
@@ -24,7 +24,7 @@
     return Status(HostName(host), "1", DataCentre("d"), 0.0, **fields)
 
 
-class FakeMail:
+class FakeTransport:
     def __init__(self):
         self.sent = []
         self.redialled = []
@@ -36,7 +36,7 @@
         self.redialled.append(address)
 
 
-class FakeOwner(HeartbeatsOwner):
+class FakeHandler(HeartbeatHandler):
     def __init__(self):
         self.records = []
 
@@ -53,31 +53,30 @@
         self.records.append(record)
 
 
-class BeaconTest(testtools.TestCase):
+class HeartbeatsTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.transport = FakeMail()
-        self.owner = FakeOwner()
+        self.transport = FakeTransport()
+        self.handler = FakeHandler()
         self.cache = RecordCache()
         self.heartbeats = Heartbeats(
-            self.transport, self.cache, Timing(), self.owner
+            self.transport, self.cache, Timing(), self.handler
         )
 
     def answer(self, asked_at, now, **fields):
         pong = Pong(asked_at, make_status("peer", **fields))
         self.heartbeats.handle(pong, PEER, now)
 
-    def test_peer_asked_in_vain_is_known_silent(self):
+    def test_peer_that_leaves_pings_unanswered_is_known_silent(self):
         for step in range(5):
             self.heartbeats.ping([PEER], 10.0 + step * 0.15)
         self.assertFalse(self.heartbeats.is_known_silent(PEER, 10.3))
         self.assertTrue(self.heartbeats.is_known_silent(PEER, 10.6))
 
-    def test_peer_not_asked_of_late_is_not_known_silent(self):
-        # The caller sees its reads of one upstream hang until the deadline.
-        # An entry heard a keeper at its start and then asked it no more.
-        # When that keeper took the upstream over, the entry held it for
-        # lost and went to another, which refused as not the keeper.
+    def test_peer_not_pinged_recently_is_not_known_silent(self):
+        # An entry pinged a keeper once at its start and not again. When that
+        # keeper took over an upstream, the entry considered it lost and sent
+        # to another, which refused with not-keeper until the deadline.
         self.heartbeats.ping([PEER], 10.0)
         self.answer(10.0, 10.01)
         self.assertFalse(self.heartbeats.is_known_silent(PEER, 20.0))
@@ -85,8 +84,8 @@
         self.assertFalse(self.heartbeats.is_known_silent(PEER, 20.1))
 
     def test_silent_link_is_redialled_by_both_sides(self):
-        # The connection went silent for good, but new ones work. Only the
-        # sender of pings notices when the way back is the silent one.
+        # One connection stays silent while new ones work. When only the
+        # answers get lost, the sender of the pings alone can notice.
         for step in range(5):
             self.heartbeats.ping([PEER], 10.0 + step * 0.15)
         self.assertEqual([PEER], self.transport.redialled)
@@ -94,19 +93,19 @@
         self.heartbeats.handle(ping, PEER, 11.0)
         self.assertEqual([PEER, PEER], self.transport.redialled)
 
-    def test_difference_of_records_is_pulled(self):
+    def test_records_are_pulled_when_digests_differ(self):
         record = Record("k", Revision(3), b"v")
         self.answer(10.0, 10.0, digest=5)
         self.assertEqual((PEER, Pull({})), self.transport.sent[-1])
         self.heartbeats.handle(Records([record]), PEER, 10.1)
-        self.assertEqual([record], self.owner.records)
+        self.assertEqual([record], self.handler.records)
         self.answer(10.2, 10.2, digest=self.cache.digest)
         self.assertEqual(1, len(self.transport.sent))
 
     def test_lower_revision_is_not_applied(self):
-        # Two ways of spreading overtake each other; the withdrawn text
-        # must not come back into force.
+        # Push and pull can deliver records out of order; the replaced
+        # configuration must not be applied again.
         new, old = Record("k", Revision(3), b"n"), Record("k", 2, b"o")
         self.heartbeats.handle(Records([new]), PEER, 10.0)
         self.heartbeats.handle(Records([old]), PEER, 10.1)
-        self.assertEqual([new], self.owner.records)
+        self.assertEqual([new], self.handler.records)
--- a/tests/daemons/test_upstreamtask.py
+++ b/tests/daemons/test_upstreamtask.py
@@ -1,4 +1,4 @@
-"""Tests of the task of one upstream, with a fake client."""
+"""Tests of UpstreamTask with a fake client."""
 
 import time
 
@@ -30,7 +30,7 @@
 KEY = ShardKey("s", 0)
 UPSTREAM = Upstream("u", "d", "10.0.0.1:1")
 SERVICE = Service("s", "/s", 2, 9, (), (UPSTREAM,), checks_orders=True)
-# Nothing lapses here by itself, however slow the machine.
+# Long enough that nothing expires, however slow the machine.
 TIMING = Timing(heartbeat=0.01, silence=60.0, grant_life=600.0)
 SETTINGS = KeeperSettings(
     host="k",
@@ -43,7 +43,7 @@
 
 
 class FakeClient(UpstreamClient):
-    """Answers orders at once, and requests as a test says."""
+    """Answers orders at once, and requests when the test sets a result."""
 
     def __init__(self):
         self.runs = []
@@ -174,8 +174,8 @@
         self.assertIs(Outcome.ANSWERED, told.get().outcome)
 
     def test_read_with_an_operation_id_is_sent_again(self):
-        # The entry lost the first answer of a read and sends it again. The
-        # caller's key on it must not bring back the unknown outcome.
+        # The entry lost the answer of a read and sends the read again. Its
+        # operation id must not return the remembered unknown outcome.
         operation = make_operation_id(time.time())
         told = self.submit("1", operation, idempotent=True)
         self.break_off(0)
@@ -184,7 +184,7 @@
         self.answer(1)
         self.assertIs(Outcome.ANSWERED, told.get().outcome)
 
-    def test_slots_bound_what_is_sent(self):
+    def test_slots_limit_concurrent_requests(self):
         for number in range(5):
             self.submit(str(number))
         self.assertEqual(2, len(self.client.runs))
@@ -193,28 +193,28 @@
         gevent.sleep(0)
         self.assertEqual(3, len(self.client.runs))
 
-    def test_lost_upstream_keeps_no_caller_waiting(self):
-        # It froze with the request in its hands. The caller would wait for
-        # an owner that is being replaced, until its deadline.
+    def test_loss_of_upstream_ends_running_requests(self):
+        # The upstream froze with a running request. Its caller would wait
+        # until the deadline for an owner that is being replaced.
         told = self.submit("1")
-        self.task._give_up_running()
+        self.task._fail_running_requests()
         self.assertIs(Outcome.UNKNOWN, told.get().outcome)
 
-    def test_loss_before_a_request_began_keeps_its_slot_and_caller(self):
-        # The loss is noticed in the turn in which the request was taken
-        # from the queue. Ended before its first step, it would hold its
-        # slot for good and never be answered.
+    def test_request_not_yet_begun_survives_a_loss(self):
+        # The loss is noticed after the request was taken from the queue but
+        # before its greenlet first ran. Killed then, the greenlet would never
+        # free its slot or answer its caller.
         told = AsyncResult()
         number = self.submit("1")
         request = msgspec.structs.replace(self.last, number="2")
         self.task.submit(request, told.set, time.monotonic())
-        self.task._give_up_running()
+        self.task._fail_running_requests()
         self.assertIs(Outcome.UNKNOWN, number.get().outcome)
         gevent.sleep(0)
         self.answer(1)
         self.assertIs(Outcome.ANSWERED, told.get(timeout=30.0).outcome)
 
-    def test_retired_task_refuses_what_waits(self):
+    def test_retired_task_refuses_queued_requests(self):
         told = [self.submit(str(number)) for number in range(3)]
         self.task.retire()
         self.assertIs(Reason.NOT_KEEPER, told[2].get().reason)
