--- a/sedgetide/testing/faults.py
+++ b/sedgetide/testing/faults.py
@@ -1,57 +1,60 @@
-"""Faults of the fault matrix; most end by themselves after a pause."""
+"""Faults of the fault matrix; most end after a fixed duration."""
 
 from collections.abc import Callable
 
+from sedgetide.testing.scenarios import restart_if_dead
 from sedgetide.testing.scenarios import Scenario
-from sedgetide.testing.scenarios import start_again
 from sedgetide.testing.storemodel import StoreFault
 from sedgetide.testing.world import FakeKeeper
-from sedgetide.testing.world import Running
+from sedgetide.testing.world import ProcessState
 from sedgetide.testing.world import STORE
 
 
 def _kill(scenario: Scenario, keeper: FakeKeeper) -> None:
-    keeper.state = Running.DEAD
-    scenario.later(scenario.pause, lambda: start_again(keeper))
+    keeper.state = ProcessState.DEAD
+    scenario.schedule(scenario.fault_duration, lambda: restart_if_dead(keeper))
 
 
 def _pause(scenario: Scenario, keeper: FakeKeeper) -> None:
-    if keeper.state is not Running.RUNNING:
+    if keeper.state is not ProcessState.RUNNING:
         return
     keeper.pause()
 
     def resume() -> None:
-        if keeper.state is Running.PAUSED:
+        if keeper.state is ProcessState.PAUSED:
             keeper.resume()
 
-    scenario.later(scenario.pause, resume)
+    scenario.schedule(scenario.fault_duration, resume)
 
 
 def _pause_at_write(scenario: Scenario) -> None:
-    """Pause the assigner between its plan and its write."""
+    """Pause the assigner after it planned a change, before it writes it."""
     keeper = scenario.assigner()
     keeper.pause_at_write = True
 
     def resume() -> None:
         keeper.pause_at_write = False
-        if keeper.state is Running.PAUSED:
+        if keeper.state is ProcessState.PAUSED:
             keeper.resume()
 
-    scenario.later(scenario.pause, resume)
+    scenario.schedule(scenario.fault_duration, resume)
 
 
 def _delay_records(scenario: Scenario) -> None:
-    """Let today's records reach every keeper once more, much later."""
+    """Deliver the current records to every keeper again, after newer ones."""
     world = scenario.world
-    text, text_revision = world.text, world.text_revision
+    configuration, configuration_revision = (
+        world.configuration,
+        world.configuration_revision,
+    )
     assignment, revision = world.read_assignment()
 
     def arrive() -> None:
         for keeper in world.keepers.values():
-            keeper.apply_configuration(text, text_revision)
-            keeper.take_record(assignment, revision)
+            keeper.apply_configuration(configuration, configuration_revision)
+            keeper.apply_assignment(assignment, revision)
 
-    scenario.later(scenario.pause, arrive)
+    scenario.schedule(scenario.fault_duration, arrive)
     scenario.drain("u2")
 
 
@@ -62,7 +65,7 @@
 def _find_watcher(scenario: Scenario) -> FakeKeeper:
     for keeper in scenario.world.keepers.values():
         now = keeper.clock.read(scenario.world.now)
-        running = keeper.state is Running.RUNNING
+        running = keeper.state is ProcessState.RUNNING
         if running and keeper.view.is_watching(now):
             return keeper
     return scenario.any_keeper()
@@ -80,24 +83,24 @@
         for host in scenario.world.keepers:
             if host != keeper.host:
                 scenario.world.cut(keeper.host, host)
-    scenario.later(scenario.pause, lambda: _heal(scenario))
+    scenario.schedule(scenario.fault_duration, lambda: _heal(scenario))
 
 
-def _cut_centre(scenario: Scenario) -> None:
+def _cut_data_centre(scenario: Scenario) -> None:
     for host in scenario.world.keepers:
         scenario.world.cut(host, STORE)
-    scenario.later(scenario.pause, lambda: _heal(scenario))
+    scenario.schedule(scenario.fault_duration, lambda: _heal(scenario))
 
 
 def _cut_entry(scenario: Scenario) -> None:
     for host in scenario.world.keepers:
         scenario.world.cut(scenario.callers.name, host)
-    scenario.later(scenario.pause, lambda: _heal(scenario))
+    scenario.schedule(scenario.fault_duration, lambda: _heal(scenario))
 
 
 def _cut_upstream(scenario: Scenario) -> None:
     scenario.world.cut(scenario.keeper().host, scenario.owner())
-    scenario.later(scenario.pause, lambda: _heal(scenario))
+    scenario.schedule(scenario.fault_duration, lambda: _heal(scenario))
 
 
 def _fail_store(scenario: Scenario, fault: StoreFault) -> None:
@@ -106,13 +109,13 @@
     def end() -> None:
         scenario.world.store_fault = StoreFault.NONE
 
-    scenario.later(scenario.pause, end)
+    scenario.schedule(scenario.fault_duration, end)
 
 
 def _kill_upstream(scenario: Scenario) -> None:
     upstream = scenario.world.upstreams[scenario.owner()]
-    upstream.state = Running.DEAD
-    scenario.later(scenario.pause, upstream.restart)
+    upstream.state = ProcessState.DEAD
+    scenario.schedule(scenario.fault_duration, upstream.restart)
 
 
 def _restart_upstream(scenario: Scenario) -> None:
@@ -121,15 +124,15 @@
 
 def _freeze_upstream(scenario: Scenario) -> None:
     upstream = scenario.world.upstreams[scenario.owner()]
-    if upstream.state is not Running.RUNNING:
+    if upstream.state is not ProcessState.RUNNING:
         return
-    upstream.state = Running.PAUSED
+    upstream.state = ProcessState.PAUSED
 
     def resume() -> None:
-        if upstream.state is Running.PAUSED:
+        if upstream.state is ProcessState.PAUSED:
             upstream.resume(scenario.world.now)
 
-    scenario.later(scenario.pause, resume)
+    scenario.schedule(scenario.fault_duration, resume)
 
 
 def _race_edits(scenario: Scenario) -> None:
@@ -138,8 +141,8 @@
     scenario.drain("u3")
 
 
-def _skew(scenario: Scenario, rate: float) -> None:
-    """Let keepers' clocks run at another rate than the upstreams'."""
+def _skew_clocks(scenario: Scenario, rate: float) -> None:
+    """Run the keepers' clocks at another rate than the upstreams'."""
     error = scenario.world.timing.clock_error / 2
     now = scenario.world.now
     for keeper in scenario.world.keepers.values():
@@ -176,13 +179,13 @@
     ),
     "keeper cut from both": lambda scenario: _cut_keeper(scenario, True, True),
     "keeper cut from upstream": _cut_upstream,
-    "centre cut from platform": _cut_centre,
+    "centre cut from platform": _cut_data_centre,
     "centre cut from others": _cut_entry,
     "store down": lambda scenario: _fail_store(scenario, StoreFault.DOWN),
     "reply lost": lambda scenario: _fail_store(
         scenario, StoreFault.LOST_REPLY
     ),
     "racing edits": _race_edits,
-    "clocks fast": lambda scenario: _skew(scenario, 1.0),
-    "clocks slow": lambda scenario: _skew(scenario, -1.0),
+    "clocks fast": lambda scenario: _skew_clocks(scenario, 1.0),
+    "clocks slow": lambda scenario: _skew_clocks(scenario, -1.0),
 }
--- a/sedgetide/testing/matrix.py
+++ b/sedgetide/testing/matrix.py
@@ -1,6 +1,6 @@
-"""The fault matrix: each fault, and each pair, at each step.
+"""The fault matrix: runs every fault, and pairs of faults, at given steps.
 
-Usage: ``python -m sedgetide.testing.matrix --output build/faults.json``.
+:mod:`sedgetide.testing.faultreport` runs all cells and writes the report.
 """
 
 import itertools
@@ -12,27 +12,27 @@
 from sedgetide.testing.scenarios import Scenario
 from sedgetide.testing.steps import STEPS
 
-_AFTER = 5.0
-_SETTLE = 4.0
+_RECOVERY_TIME = 5.0
+_SETTLE_TIME = 4.0
 
 
 class Cell(msgspec.Struct, frozen=True):
-    """Result of one cell.
+    """Result of one cell of the fault matrix.
 
     Parameters
     ----------
     faults : tuple of str
-        What struck, in order.
+        Names of the faults, in the order in which they occurred.
     step : str
-        When.
+        Name of the step at which they occurred.
     broken : tuple of str
-        Promises broken, with the time.
+        Violated guarantees, with the time in seconds.
     dark : float
-        Longest time in seconds a shard was not served.
+        Longest time in seconds for which a shard was not served.
     refused : int
         Attempts that were not answered.
     served_again : bool
-        Whether every shard is served some seconds after the fault.
+        Whether every shard was served at the end of the run.
     """
 
     faults: tuple[str, ...]
@@ -44,7 +44,7 @@
 
     @property
     def verdict(self) -> str:
-        """One word or two for the table."""
+        """Short result for the table of the report."""
         if self.broken or not self.served_again:
             return "BROKEN"
         if not self.refused:
@@ -57,7 +57,7 @@
 def run_cell(
     faults: tuple[str, ...], step: str, checks_orders: bool = True
 ) -> Cell:
-    """Run one cell from a fresh start."""
+    """Run one cell with a new scenario."""
     scenario = Scenario(checks_orders)
     STEPS[step](scenario)
     if faults != ("none",):
@@ -65,9 +65,9 @@
     for fault in faults:
         FAULTS[fault](scenario)
         scenario.tick()
-    scenario.run(scenario.pause + _AFTER)
+    scenario.run(scenario.fault_duration + _RECOVERY_TIME)
     scenario.load = False
-    scenario.run(_SETTLE)
+    scenario.run(_SETTLE_TIME)
     scenario.check_at_end()
     served = not scenario.dark
     return Cell(
@@ -81,14 +81,14 @@
 
 
 def list_singles() -> list[tuple[tuple[str, ...], str]]:
-    """Return every fault at every step."""
+    """Return the cells of every fault at every step."""
     return [
         ((fault,), step) for fault, step in itertools.product(FAULTS, STEPS)
     ]
 
 
 def list_pairs() -> list[tuple[tuple[str, ...], str]]:
-    """Return every ordered pair of faults at the steps that matter most."""
+    """Return the cells of every ordered pair of faults at four steps."""
     faults = [name for name in FAULTS if name != "none"]
     steps = ("renewal", "request handed over", "move: releasing", "loss")
     return [
@@ -102,8 +102,8 @@
 def run_cells(
     cells: list[tuple[tuple[str, ...], str]], processes: int
 ) -> list[Cell]:
-    """Run cells on several processors, in the given order."""
-    # A fork would copy the threads' locks of whatever ran before.
+    """Run cells in parallel; return the results in the given order."""
+    # A forked worker would inherit locks held by threads of this process.
     context = multiprocessing.get_context("spawn")
     with context.Pool(processes) as pool:
         return pool.starmap(run_cell, cells, chunksize=8)
--- a/sedgetide/testing/mutations.py
+++ b/sedgetide/testing/mutations.py
@@ -1,7 +1,7 @@
-"""Weakened safeguards: the matrix has to catch each one.
+"""Mutation tests of the fault matrix.
 
-A matrix that finds nothing proves something only if it would find a missing
-safeguard. Each mutation takes one away, and names a cell that must break.
+A matrix without violations is evidence only if it detects missing safeguards.
+Each mutation disables one safeguard and names a cell that must then fail.
 """
 
 import contextlib
@@ -28,22 +28,22 @@
 
 
 class Mutation(msgspec.Struct, frozen=True):
-    """One safeguard taken away.
+    """A safeguard to disable, and the cell that must then fail.
 
     Parameters
     ----------
     name : str
-        What is weakened.
+        Description of the disabled safeguard.
     promise : str
-        Which promise it guards.
+        Guarantee that it protects.
     target, attribute : object and str
-        What is replaced.
+        Object and name of its attribute to replace.
     replacement : object
-        By what.
+        Replacement of the attribute.
     faults, step
-        Cell that has to break.
+        Cell that must fail.
     checks_orders : bool
-        Kind of upstreams in the cell.
+        Whether the upstreams in the cell refuse stale orders.
     """
 
     name: str
@@ -56,7 +56,7 @@
     checks_orders: bool = True
 
     def run(self) -> Cell:
-        """Run the cell without the safeguard."""
+        """Run the cell with the safeguard disabled."""
         with contextlib.ExitStack() as stack:
             stack.enter_context(
                 mock.patch.object(
@@ -66,13 +66,13 @@
             return run_cell(self.faults, self.step, self.checks_orders)
 
 
-def _apply_any(self: RecordCache, record: Any) -> bool:
+def _apply_any_revision(self: RecordCache, record: Any) -> bool:
     held = self._records.get(record.key)
     self._records[record.key] = record
     return held is None or held.revision != record.revision
 
 
-def _swap_blindly(
+def _swap_unconditionally(
     self: Any, key: str, value: bytes, expected: int, lease: Any = None
 ) -> Any:
     self.revision += 1
@@ -81,7 +81,7 @@
     return SwapResult(True, self.revision)
 
 
-def _list_all_takers(self: Any, text: Any, now: float) -> Any:
+def _list_all_eligible(self: Any, text: Any, now: float) -> Any:
     names = {
         service.name: [each.name for each in service.upstreams]
         for service in text.services
@@ -90,12 +90,12 @@
 
 
 ONE_OWNER = "one owner"
-KEPT = "acknowledged assignments stay"
-TRUE_REFUSAL = "a refusal is true"
-ONCE = "at most once"
-LEAVING = "a leaving upstream gets nothing new"
-STOP = "a planned stop cuts no request"
-TEXT = "an accepted text never goes back"
+DURABLE_ASSIGNMENT = "acknowledged assignments are not lost"
+TRUTHFUL_REFUSAL = "a request refused as not run did not run"
+AT_MOST_ONCE = "at most once"
+DRAINING = "a draining upstream gets no new requests"
+PLANNED_STOP = "a planned stop aborts no request"
+MONOTONIC_CONFIGURATION = "configuration revisions never go back"
 
 MUTATIONS = [
     Mutation(
@@ -126,7 +126,7 @@
         "renewal",
     ),
     Mutation(
-        "no look at the clock before an order is sent",
+        "no check of the clock before an order is sent",
         ONE_OWNER,
         World,
         "check_before_send",
@@ -137,16 +137,16 @@
     ),
     Mutation(
         "a write without compare-and-swap",
-        KEPT,
+        DURABLE_ASSIGNMENT,
         StoreModel,
         "swap",
-        _swap_blindly,
+        _swap_unconditionally,
         ("assigner paused at a write",),
         "takeover: releasing",
     ),
     Mutation(
-        "not-run said after the hand-over",
-        TRUE_REFUSAL,
+        "not-run reported for a request already sent",
+        TRUTHFUL_REFUSAL,
         worldrequests,
         "judge_failure",
         lambda phase: Outcome.NOT_RUN,
@@ -154,8 +154,8 @@
         "request running",
     ),
     Mutation(
-        "an unsure first attempt forgotten",
-        TRUE_REFUSAL,
+        "the unknown outcome of a first attempt ignored",
+        TRUTHFUL_REFUSAL,
         worldrequests,
         "combine_outcomes",
         lambda before, last: last,
@@ -164,7 +164,7 @@
     ),
     Mutation(
         "a non-idempotent request sent again",
-        ONCE,
+        AT_MOST_ONCE,
         worldrequests,
         "may_resend",
         lambda outcome, idempotent: outcome is not Outcome.ANSWERED,
@@ -172,8 +172,8 @@
         "request running",
     ),
     Mutation(
-        "operation ids of a predecessor run",
-        ONCE,
+        "operation ids of an earlier keeper accepted",
+        AT_MOST_ONCE,
         OperationLog,
         "_may_have_run",
         lambda self, operation, shard, wall: False,
@@ -181,17 +181,17 @@
         "request running",
     ),
     Mutation(
-        "a draining upstream still given shards",
-        LEAVING,
+        "shards assigned to a draining upstream",
+        DRAINING,
         DataCentreView,
         "_list_takers",
-        _list_all_takers,
+        _list_all_eligible,
         ("none",),
         "text accepted",
     ),
     Mutation(
-        "a stop without a notice",
-        STOP,
+        "a stop without notice to the peers",
+        PLANNED_STOP,
         Scenario,
         "stop_notice",
         0.05,
@@ -199,11 +199,11 @@
         "planned stop",
     ),
     Mutation(
-        "a lower revision taken",
-        TEXT,
+        "a lower revision applied",
+        MONOTONIC_CONFIGURATION,
         RecordCache,
         "apply",
-        _apply_any,
+        _apply_any_revision,
         ("records overtaken",),
         "renewal",
     ),
--- a/sedgetide/testing/scenarios.py
+++ b/sedgetide/testing/scenarios.py
@@ -1,4 +1,4 @@
-"""A small world under load, with all promises checked each tick."""
+"""Scenarios: a simulated world under load, checked after each tick."""
 
 from collections.abc import Callable
 
@@ -19,7 +19,7 @@
 from sedgetide.testing.journals import find_two_owners
 from sedgetide.testing.storemodel import StoreFault
 from sedgetide.testing.world import FakeKeeper
-from sedgetide.testing.world import Running
+from sedgetide.testing.world import ProcessState
 from sedgetide.testing.world import TICK
 from sedgetide.testing.world import World
 from sedgetide.testing.worldrequests import Attempt
@@ -27,17 +27,17 @@
 
 SHARDS = 4
 UPSTREAMS = ("u1", "u2", "u3")
-# Longer than every lease, and than a takeover takes.
-_PAUSE_CHECKED = 3.0
-_PAUSE_UNCHECKED = 6.0
-_LEAVES_WITHIN = 2.0
-_IN_FORCE_WITHIN = 2.0
-_REPEAT_AFTER = 1.0
-_LIMIT = 400
+# Fault durations in seconds; longer than any lease or takeover.
+_FAULT_DURATION_CHECKED = 3.0
+_FAULT_DURATION_UNCHECKED = 6.0
+_MAX_DRAIN_TIME = 2.0
+_MAX_APPLY_TIME = 2.0
+_REPEAT_DELAY = 1.0
+_MAX_TICKS = 400
 
 
-def make_text(draining: str = "", checks_orders: bool = True) -> Text:
-    """Return a text with one keyed service and three upstreams."""
+def make_configuration(draining: str = "", checks_orders: bool = True) -> Text:
+    """Return a configuration with one keyed service and three upstreams."""
     upstreams = tuple(
         Upstream(
             name,
@@ -65,7 +65,7 @@
 
 
 class Scenario:
-    """A world under a load, with the promises checked after each tick.
+    """A simulated world under load, with guarantees checked each tick.
 
     Parameters
     ----------
@@ -76,19 +76,25 @@
     stop_notice = 1.0
 
     def __init__(self, checks_orders: bool = True) -> None:
-        self.world = World(make_text("", checks_orders), 3, checks_orders)
+        self.world = World(
+            make_configuration("", checks_orders), 3, checks_orders
+        )
         self.callers = Callers(self.world)
         self.broken: list[str] = []
         self.dark: dict[ShardKey, float] = {}
         self.longest_dark = 0.0
         self.refused = 0
-        self.calm_since = 0.0
+        self.fault_free_since = 0.0
         self.load = True
         self.target = ShardKey(self.world.list_keys()[0].service, 0)
         self.watched: Attempt | None = None
-        self.pause = _PAUSE_CHECKED if checks_orders else _PAUSE_UNCHECKED
+        self.fault_duration = (
+            _FAULT_DURATION_CHECKED
+            if checks_orders
+            else _FAULT_DURATION_UNCHECKED
+        )
         self._checks_orders = checks_orders
-        self._later: list[tuple[float, Callable[[], None]]] = []
+        self._scheduled: list[tuple[float, Callable[[], None]]] = []
         self._ticks = 0
         self._repeats: list[tuple[float, Attempt]] = []
         self._drained: dict[str, float] = {}
@@ -100,186 +106,198 @@
     # Time
 
     def tick(self) -> None:
-        """Let one tick pass, with load, and check all promises."""
+        """Advance by one tick, send load, and check all guarantees."""
         self._ticks += 1
-        self._run_later()
+        self._run_scheduled()
         self.world.tick()
         if self.load:
             keys = self.world.list_keys()
             key = keys[self._ticks % len(keys)]
             self.callers.send(key, idempotent=self._ticks % 2 == 0)
-        self._repeat()
+        self._send_due_repeats()
         seen = len(self.callers.told)
         self.callers.tick()
-        self._check_told(seen)
+        self._check_outcomes(seen)
         self._check_owners()
         self._check_assignment()
-        self._check_text()
-        self._check_leaving()
+        self._check_configuration()
+        self._check_drained()
         self._measure_dark()
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the simulation by some seconds."""
         for _ in range(round(seconds / TICK)):
             self.tick()
 
     def run_until(self, condition: Callable[[], bool]) -> None:
-        """Let time pass until a condition holds.
+        """Advance the simulation until a condition holds.
 
         Raises
         ------
         TimeoutError
-            When it never does; the step then can not be reached.
+            If the condition does not hold within the maximum of ticks.
         """
-        for _ in range(_LIMIT):
+        for _ in range(_MAX_TICKS):
             if condition():
                 return
             self.tick()
-        raise TimeoutError("step not reached")
+        raise TimeoutError(f"condition not met within {_MAX_TICKS} ticks")
 
-    def later(self, seconds: float, action: Callable[[], None]) -> None:
-        """Do something after a while."""
-        self._later.append((self.world.now + seconds, action))
+    def schedule(self, seconds: float, action: Callable[[], None]) -> None:
+        """Schedule an action after a delay."""
+        self._scheduled.append((self.world.now + seconds, action))
 
-    def _run_later(self) -> None:
-        due = [each for each in self._later if each[0] <= self.world.now]
-        self._later = [each for each in self._later if each not in due]
+    def _run_scheduled(self) -> None:
+        due = [each for each in self._scheduled if each[0] <= self.world.now]
+        self._scheduled = [each for each in self._scheduled if each not in due]
         for _, action in due:
             action()
 
-    # Who is who
+    # Roles
 
     def owner(self) -> UpstreamName:
-        """Return the upstream that has the target shard."""
+        """Return the upstream that owns the target shard."""
         found = self.world.assignment.find_owner(self.target)
         return UpstreamName("u1") if found is None else found.upstream
 
     def keeper(self) -> FakeKeeper:
-        """Return the keeper of the target's owner."""
+        """Return the keeper that serves the owner of the target shard."""
         for keeper in self.world.keepers.values():
             lease = keeper.leases.get(self.owner())
-            running = keeper.state is Running.RUNNING
+            running = keeper.state is ProcessState.RUNNING
             if lease is not None and running and not lease.standing_back:
                 return keeper
         return self.any_keeper()
 
     def any_keeper(self) -> FakeKeeper:
-        """Return the first keeper that runs."""
+        """Return the first running keeper."""
         for keeper in self.world.keepers.values():
-            if keeper.state is Running.RUNNING:
+            if keeper.state is ProcessState.RUNNING:
                 return keeper
         return next(iter(self.world.keepers.values()))
 
     def assigner(self) -> FakeKeeper:
-        """Return the keeper that changes the assignment."""
+        """Return the keeper that writes the assignment."""
         keeper = self.any_keeper()
         now = keeper.clock.read(self.world.now)
         host = keeper.view.find_assigner(now)
         return keeper if host is None else self.world.keepers[host]
 
     def drain(self, name: str) -> None:
-        """Have the operators drain an upstream."""
-        self.world.edit_text(make_text(name, self._checks_orders))
+        """Drain an upstream by a change of the configuration."""
+        self.world.edit_configuration(
+            make_configuration(name, self._checks_orders)
+        )
         self._drained = {name: self.world.now} if name else {}
         self._edited_at = self.world.now
 
-    # Promises
+    # Guarantees
 
-    def _break(self, promise: str) -> None:
+    def _record_violation(self, violation: str) -> None:
         if len(self.broken) < 20:
-            self.broken.append(f"{self.world.now - 1000:.2f}: {promise}")
+            self.broken.append(f"{self.world.now - 1000:.2f}: {violation}")
 
     def _check_owners(self) -> None:
         for key in self.world.list_keys():
             owners = self.world.list_owners(key)
             if len(owners) > 1:
-                self._break(f"{key} has owners {owners}")
+                self._record_violation(f"{key} has owners {owners}")
 
     def _check_assignment(self) -> None:
-        """Check that what was acknowledged stays."""
+        """Check that acknowledged changes of the assignment are not lost."""
         for key, owner in self.world.assignment.shards.items():
             known = self._acknowledged.get(key)
             if known is not None and known.epoch > owner.epoch:
-                self._break(f"{key} fell from epoch {known.epoch}")
+                self._record_violation(
+                    f"{key} went back from epoch {known.epoch}"
+                )
             if known is not None and known.epoch == owner.epoch:
                 moved = known.upstream != owner.upstream
                 if moved and known.state is ShardState.OWNED:
-                    self._break(f"{key} changed hands within an epoch")
+                    self._record_violation(
+                        f"{key} changed owner within an epoch"
+                    )
             self._acknowledged[key] = owner
 
-    def _check_told(self, seen: int) -> None:
+    def _check_outcomes(self, seen: int) -> None:
         for told in self.callers.told[seen:]:
             if told.answer != told.operation:
-                self._break(f"answer of another: {told}")
+                self._record_violation(f"answer of another operation: {told}")
             if told.outcome is not Outcome.ANSWERED:
                 self.refused += 1
                 if self.planned_only:
-                    self._break(f"a planned stop cut {told}")
-        for attempt in self.callers.attempts[-_LIMIT:]:
-            self._note_repeat(attempt)
+                    self._record_violation(f"a planned stop aborted {told}")
+        for attempt in self.callers.attempts[-_MAX_TICKS:]:
+            self._schedule_repeat(attempt)
 
-    def _note_repeat(self, attempt: Attempt) -> None:
-        """Have the caller repeat what it was told nothing sure of."""
+    def _schedule_repeat(self, attempt: Attempt) -> None:
+        """Schedule the caller's repeat of an operation of unknown outcome."""
         if attempt.told is None or not attempt.first or attempt.idempotent:
             return
         if attempt.told.outcome is Outcome.UNKNOWN:
             attempt.first = False
-            due = self.world.now + _REPEAT_AFTER
+            due = self.world.now + _REPEAT_DELAY
             self._repeats.append((due, attempt))
 
-    def _repeat(self) -> None:
+    def _send_due_repeats(self) -> None:
         for due, attempt in list(self._repeats):
             if due <= self.world.now:
                 self._repeats.remove((due, attempt))
                 self.callers.send(attempt.key, operation=attempt.operation)
 
-    def _check_text(self) -> None:
-        """Check that texts never go back and are soon in force."""
-        if self.disturbed:
-            self.calm_since = self.world.now
-        since = max(self._edited_at, self.calm_since)
-        late = self.world.now - since > _IN_FORCE_WITHIN
+    def _check_configuration(self) -> None:
+        """Check that revisions never go back and are applied in time."""
+        if self.fault_active:
+            self.fault_free_since = self.world.now
+        since = max(self._edited_at, self.fault_free_since)
+        late = self.world.now - since > _MAX_APPLY_TIME
         for host, keeper in self.world.keepers.items():
             name = keeper.incarnation
-            revision = keeper.text_revision
+            revision = keeper.configuration_revision
             if revision < self._revisions.get(name, 0):
-                self._break(f"text of {host} went back to {revision}")
+                self._record_violation(
+                    f"configuration of {host} went back to {revision}"
+                )
             self._revisions[name] = revision
-            known = revision == self.world.text_revision
-            if late and not known and self._could_know(keeper):
-                self._break(f"{host} is at text {revision}")
-
-    def _could_know(self, keeper: FakeKeeper) -> bool:
-        if keeper.state is not Running.RUNNING or self.disturbed:
+            known = revision == self.world.configuration_revision
+            if late and not known and self._can_read_configuration(keeper):
+                self._record_violation(
+                    f"{host} is at configuration {revision}"
+                )
+
+    def _can_read_configuration(self, keeper: FakeKeeper) -> bool:
+        if keeper.state is not ProcessState.RUNNING or self.fault_active:
             return False
-        return self.world.reaches_store(keeper.host)
+        return self.world.can_reach_store(keeper.host)
 
     @property
-    def disturbed(self) -> bool:
-        """Whether any fault holds at present."""
+    def fault_active(self) -> bool:
+        """Whether a fault is active or an action is scheduled."""
         world = self.world
         return bool(
             world.cuts
             or world.store_fault is not StoreFault.NONE
-            or self._later
+            or self._scheduled
         )
 
-    def _check_leaving(self) -> None:
+    def _check_drained(self) -> None:
         for name, since in self._drained.items():
-            if self.world.now - since < _LEAVES_WITHIN or self.disturbed:
+            if self.world.now - since < _MAX_DRAIN_TIME or self.fault_active:
                 continue
             upstream = self.world.upstreams[UpstreamName(name)]
             late = [
                 each
                 for each in upstream.model.journal[-5:]
-                if each.began > since + _LEAVES_WITHIN
-                and each.began > self.calm_since + _LEAVES_WITHIN
+                if each.began > since + _MAX_DRAIN_TIME
+                and each.began > self.fault_free_since + _MAX_DRAIN_TIME
             ]
             if late:
-                self._break(f"{name} got new work while leaving")
+                self._record_violation(
+                    f"{name} got new requests while draining"
+                )
 
     def _measure_dark(self) -> None:
-        """Measure how long each shard is not served in its own centre."""
+        """Measure how long each shard is not served in its data centre."""
         for key in self.world.list_keys():
             if self._is_served(key):
                 self.dark.pop(key, None)
@@ -289,28 +307,28 @@
 
     def _is_served(self, key: ShardKey) -> bool:
         for keeper in self.world.keepers.values():
-            if keeper.state is not Running.RUNNING:
+            if keeper.state is not ProcessState.RUNNING:
                 continue
             now = keeper.clock.read(self.world.now)
             for name, lease in keeper.leases.items():
                 upstream = self.world.upstreams[name]
-                if upstream.state is not Running.RUNNING:
+                if upstream.state is not ProcessState.RUNNING:
                     continue
-                if not self.world.reaches(keeper.host, name):
+                if not self.world.is_connected(keeper.host, name):
                     continue
                 if lease.find_refusal_reason(key, now + 1.0, now) is None:
                     return True
         return False
 
     def check_at_end(self) -> None:
-        """Check what only the whole journal shows."""
+        """Check the guarantees that need the complete journal."""
         journal = [
             msgspec.to_builtins(entry)
             for upstream in self.world.upstreams.values()
-            for model in [upstream.model, *upstream.past]
+            for model in [upstream.model, *upstream.past_models]
             for entry in model.journal
         ]
-        self.broken += [f"doubled {each}" for each in find_doubled(journal)]
+        self.broken += [f"ran twice: {each}" for each in find_doubled(journal)]
         self.broken += find_two_owners(journal)
         ran = {each["operation"] for each in journal}
         outcomes: dict[str, set[Outcome]] = {}
@@ -318,12 +336,16 @@
             outcomes.setdefault(told.operation, set()).add(told.outcome)
         for operation, found in outcomes.items():
             if found == {Outcome.NOT_RUN} and operation in ran:
-                self._break(f"false not-run of {operation}")
+                self._record_violation(
+                    f"reported not-run but ran: {operation}"
+                )
             if Outcome.ANSWERED in found and operation not in ran:
-                self._break(f"answered without a run: {operation}")
+                self._record_violation(
+                    f"reported answered but did not run: {operation}"
+                )
 
 
-def start_again(keeper: FakeKeeper) -> None:
-    """Start a dead keeper as a new process."""
-    if keeper.state is Running.DEAD:
+def restart_if_dead(keeper: FakeKeeper) -> None:
+    """Start a keeper as a new process if it is dead."""
+    if keeper.state is ProcessState.DEAD:
         keeper.start()
--- a/sedgetide/testing/steps.py
+++ b/sedgetide/testing/steps.py
@@ -1,14 +1,14 @@
-"""Steps of the fault matrix: each leads to where a fault strikes."""
+"""Steps of the fault matrix: each runs a scenario up to a given state."""
 
 from collections.abc import Callable
 
 from sedgetide.core.requests.outcomes import Phase
+from sedgetide.testing.scenarios import restart_if_dead
 from sedgetide.testing.scenarios import Scenario
-from sedgetide.testing.scenarios import start_again
-from sedgetide.testing.world import Running
+from sedgetide.testing.world import ProcessState
 
 
-def _settle(scenario: Scenario) -> None:
+def _reach_steady_state(scenario: Scenario) -> None:
     scenario.run_until(
         lambda: (
             all(
@@ -24,7 +24,7 @@
 
 
 def _reach_phase(scenario: Scenario, phase: Phase) -> None:
-    _settle(scenario)
+    _reach_steady_state(scenario)
     scenario.watched = scenario.callers.send(scenario.target)
     scenario.run_until(
         lambda: (
@@ -35,7 +35,7 @@
 
 
 def _reach_accepted(scenario: Scenario) -> None:
-    _settle(scenario)
+    _reach_steady_state(scenario)
     scenario.watched = scenario.callers.send(scenario.target)
 
 
@@ -50,7 +50,7 @@
 
 
 def _reach_move(scenario: Scenario) -> None:
-    _settle(scenario)
+    _reach_steady_state(scenario)
     scenario.drain(scenario.owner())
 
 
@@ -69,8 +69,8 @@
 
 
 def _reach_loss(scenario: Scenario) -> None:
-    _settle(scenario)
-    scenario.world.upstreams[scenario.owner()].state = Running.DEAD
+    _reach_steady_state(scenario)
+    scenario.world.upstreams[scenario.owner()].state = ProcessState.DEAD
 
 
 def _reach_takeover(scenario: Scenario) -> None:
@@ -78,7 +78,7 @@
     scenario.run_until(lambda: _is_releasing(scenario))
 
 
-def _reach_takeover_told(scenario: Scenario) -> None:
+def _reach_takeover_waiting(scenario: Scenario) -> None:
     _reach_takeover(scenario)
     scenario.run(0.6)
 
@@ -94,22 +94,22 @@
 
 
 def _reach_stop(scenario: Scenario) -> None:
-    _settle(scenario)
+    _reach_steady_state(scenario)
     keeper = scenario.keeper()
     keeper.view.leaving = True
 
     def stop() -> None:
-        keeper.state = Running.DEAD
+        keeper.state = ProcessState.DEAD
 
     scenario.planned_only = True
-    scenario.later(scenario.stop_notice, stop)
-    scenario.later(2.0, lambda: start_again(keeper))
+    scenario.schedule(scenario.stop_notice, stop)
+    scenario.schedule(2.0, lambda: restart_if_dead(keeper))
 
 
 def _reach_replacement(scenario: Scenario) -> None:
-    _settle(scenario)
+    _reach_steady_state(scenario)
     keeper = scenario.keeper()
-    keeper.state = Running.DEAD
+    keeper.state = ProcessState.DEAD
     scenario.run(1.0)
     keeper.start()
 
@@ -126,14 +126,14 @@
     ),
     "request running": _reach_running,
     "request answering": _reach_answering,
-    "renewal": _settle,
+    "renewal": _reach_steady_state,
     "text accepted": _reach_move,
     "move: releasing": _reach_releasing,
     "move: owned": _reach_moved,
     "drain over": _reach_drain_end,
     "loss": _reach_loss,
     "takeover: releasing": _reach_takeover,
-    "takeover: waiting": _reach_takeover_told,
+    "takeover: waiting": _reach_takeover_waiting,
     "takeover: owned": _reach_taken_over,
     "planned stop": _reach_stop,
     "replacement started": _reach_replacement,
--- a/sedgetide/testing/storemodel.py
+++ b/sedgetide/testing/storemodel.py
@@ -1,4 +1,4 @@
-"""State of the stand-in store, without I/O."""
+"""State of the simulated store, without I/O."""
 
 import enum
 
@@ -10,12 +10,12 @@
 
 
 class StoreFault(enum.Enum):
-    """Fault the stand-in can be switched to.
+    """Faults that can be injected into the simulated store.
 
     Attributes
     ----------
     LOST_REPLY
-        WatchResult take effect, but their answers never arrive.
+        Writes take effect, but their answers are lost.
     """
 
     NONE = "none"
@@ -38,7 +38,7 @@
 
 
 class StoreModel:
-    """Values with revisions counted over the whole store, and leases."""
+    """Key-value store with one revision counter for all keys, and leases."""
 
     def __init__(self) -> None:
         self.revision = NO_REVISION
@@ -47,13 +47,13 @@
         self._lease_count = 0
 
     def read(self, key: str) -> Record | None:
-        """Return the newest version of a key."""
+        """Return the current version of a key."""
         return self._records.get(key)
 
     def swap(
         self, key: str, value: bytes, expected: int, lease: int | None = None
     ) -> SwapResult:
-        """Replace a value when its revision is the expected one."""
+        """Write a value by compare-and-swap on its revision."""
         held = self._records.get(key)
         found = NO_REVISION if held is None else held.revision
         if found != expected:
@@ -76,13 +76,13 @@
         )
 
     def grant_lease(self, ttl: float, now: float) -> int:
-        """Open a lease; keys bound to it vanish with it."""
+        """Open a lease; keys attached to it are deleted when it expires."""
         self._lease_count += 1
         self._leases[self._lease_count] = _Lease(ttl, now + ttl, set())
         return self._lease_count
 
     def renew_lease(self, lease: int, now: float) -> bool:
-        """Renew a lease; return False when it has lapsed."""
+        """Renew a lease; return False when it has expired."""
         self.expire_leases(now)
         held = self._leases.get(lease)
         if held is None:
@@ -91,7 +91,7 @@
         return True
 
     def expire_leases(self, now: float) -> None:
-        """Remove lapsed leases with their keys."""
+        """Remove expired leases and the keys attached to them."""
         for number, lease in list(self._leases.items()):
             if lease.expires <= now:
                 del self._leases[number]
--- a/sedgetide/testing/upstreammodel.py
+++ b/sedgetide/testing/upstreammodel.py
@@ -1,4 +1,4 @@
-"""State of the stand-in upstream, without I/O."""
+"""State of the simulated upstream, without I/O."""
 
 from collections.abc import Mapping
 
@@ -9,12 +9,13 @@
 
 
 class JournalEntry(msgspec.Struct):
-    """One operation the upstream really began.
+    """An operation that the upstream began.
 
     Parameters
     ----------
     began, ended : float
-        Monotonic clock of the machine; ``ended`` is None while it runs.
+        Times by the machine's monotonic clock; ``ended`` is None while the
+        operation runs.
     operation : str
         Value of the caller's ``Idempotency-Key``, or the path.
     """
@@ -38,16 +39,20 @@
 class UpstreamModel:
     """Grants, fences, slots and the journal of one upstream.
 
+    A fence is the highest epoch at which a shard was granted or released; a
+    grant with a lower epoch is refused.
+
     Parameters
     ----------
     name : str
-        Name in the journal.
+        Name of the upstream in the journal.
     incarnation : str
-        Start of the process.
+        Id of the process; changes with each start.
     checks_orders : bool
         Whether stale orders and requests are refused.
     slots : int
-        Requests worked on at a time; one more than twice as many is shed.
+        Requests served at a time; further ones are shed when more than twice
+        as many run.
     """
 
     def __init__(
@@ -60,7 +65,7 @@
         self.running = 0
         self.orderer = ""
         self.journal: list[JournalEntry] = []
-        self._open: list[JournalEntry] = []
+        self._open_entries: list[JournalEntry] = []
         self._grants: dict[ShardKey, _Grant] = {}
         self._fences: dict[ShardKey, Epoch] = {}
         self._cancelled: set[str] = set()
@@ -68,14 +73,15 @@
 
     @staticmethod
     def issue_stamp(now: float) -> str:
-        """Return the clock as an opaque stamp."""
+        """Return the clock reading as an opaque stamp."""
         return f"{now:.6f}"
 
     def find_expiry(self, stamp: str, life: float, now: float) -> float:
-        """Return when a grant ends; a checking upstream goes by its stamp.
+        """Return when a grant expires.
 
-        An order that sat in a socket buffer during a freeze would otherwise
-        make an owner of one whose shards have been given away.
+        An upstream that checks orders counts from the stamp. Otherwise an
+        order that stayed in its socket buffer while it was frozen would make
+        it the owner of shards that have been reassigned.
         """
         return (float(stamp) if self.checks_orders else now) + life
 
@@ -87,7 +93,7 @@
         shards: Mapping[ShardKey, Epoch],
         now: float,
     ) -> tuple[str, list[ShardKey]]:
-        """Take grants; return the previous orderer and what was refused."""
+        """Accept grants; return the previous orderer and refused shards."""
         previous = self.orderer
         until = self.find_expiry(stamp, life, now)
         if until <= now:
@@ -103,12 +109,16 @@
         return previous, refused
 
     def release(self, shards: Mapping[ShardKey, Epoch]) -> list[ShardKey]:
-        """Give shards up; return those of which a request still runs.
+        """Release shards; return those kept because a request still runs.
 
-        A checking upstream remembers the fence.
+        The fences of the released shards are raised to the given epochs.
         """
-        busy = {each.shard for each in self._open if each.ended is None}
-        self._open = [each for each in self._open if each.ended is None]
+        busy = {
+            each.shard for each in self._open_entries if each.ended is None
+        }
+        self._open_entries = [
+            each for each in self._open_entries if each.ended is None
+        ]
         refused = [key for key in shards if str(key) in busy]
         for key, epoch in shards.items():
             if key in refused:
@@ -120,17 +130,17 @@
         return refused
 
     def owns(self, key: ShardKey, now: float) -> bool:
-        """Tell whether a grant for the shard is alive."""
+        """Return whether the upstream holds an unexpired grant of a shard."""
         grant = self._grants.get(key)
         return grant is not None and now < grant.until
 
     def measure_held(self, now: float) -> float:
-        """Return the longest life left to a grant in seconds."""
+        """Return the seconds until the last grant expires."""
         left = (grant.until - now for grant in self._grants.values())
         return max(0.0, max(left, default=0.0))
 
     def list_owned(self, now: float) -> dict[str, int]:
-        """Return live grants as shard and epoch."""
+        """Return the epochs of unexpired grants by shard."""
         return {
             str(key): grant.epoch
             for key, grant in self._grants.items()
@@ -163,19 +173,19 @@
         return ""
 
     def begin(self, entry: JournalEntry) -> None:
-        """Note an operation in the journal."""
+        """Add an operation to the journal."""
         self.journal.append(entry)
-        self._open.append(entry)
+        self._open_entries.append(entry)
 
     def cancel(self, number: str) -> bool:
-        """Cancel a request; return True when it has begun already."""
+        """Cancel a request; return True if it has already begun."""
         if number in self._begun:
             return True
         self._cancelled.add(number)
         return False
 
     def start(self, number: str) -> bool:
-        """Begin a request; return False when it was cancelled before."""
+        """Begin a request; return False if it was cancelled before."""
         if number in self._cancelled:
             return False
         self._begun.add(number)
--- a/sedgetide/testing/world.py
+++ b/sedgetide/testing/world.py
@@ -1,8 +1,8 @@
-"""A few keepers, upstreams and a store without sockets, in passed-in time.
+"""Simulation of keepers, upstreams and a store, without sockets.
 
-Small fakes at the interfaces of the decisions: what a daemon's tasks do with
-sockets is done here by direct calls that a cut, a pause or an outage stops.
-The decisions themselves are those of the daemons.
+The decision logic is that of the daemons. The I/O of their tasks is replaced
+by direct calls, which fail during a network cut, a pause or an outage. Time is
+simulated.
 """
 
 from collections.abc import Callable
@@ -46,19 +46,19 @@
 from sedgetide.testing.upstreammodel import UpstreamModel
 
 TICK = 0.05
-CENTRE = DataCentre("one")
+DATA_CENTRE = DataCentre("one")
 SERVICE = ServiceName("s")
-KEY = build_assignment_key(CENTRE)
+KEY = build_assignment_key(DATA_CENTRE)
 STORE = "store"
-WALL = 1_700_000_000.0
-_LOG_WINDOW = 600.0
-_LOG_SIZE = 10_000
-# Within one data centre, of hosts that keep time as operators must see to.
+WALL_CLOCK_OFFSET = 1_700_000_000.0
+_OPERATION_WINDOW = 600.0
+_MAX_OPERATIONS = 10_000
+# Clocks of hosts in one data centre; operators must keep them this close.
 _CLOCK_SKEW = 0.1
 
 
-class Running(enum.Enum):
-    """Whether a process does anything."""
+class ProcessState(enum.Enum):
+    """State of a simulated process."""
 
     RUNNING = "running"
     PAUSED = "paused"
@@ -66,47 +66,49 @@
 
 
 class Clock(msgspec.Struct):
-    """A monotonic clock with an offset and a rate of its own."""
+    """A monotonic clock with its own offset and rate."""
 
     offset: float = 0.0
     rate: float = 1.0
 
     def read(self, now: float) -> float:
-        """Return this clock's reading at the true time."""
+        """Return this clock's reading at a simulated time."""
         return self.offset + now * self.rate
 
 
 class FakeUpstream:
-    """An upstream whose socket buffers outlast a freeze."""
+    """An upstream that handles calls buffered during a pause afterwards."""
 
     def __init__(self, name: str, checks: bool, clock: Clock) -> None:
         self.name = UpstreamName(name)
-        self.state = Running.RUNNING
+        self.state = ProcessState.RUNNING
         self.clock = clock
         self.checks = checks
         self.buffer: list[Callable[[float], object]] = []
-        self.past: list[UpstreamModel] = []
+        self.past_models: list[UpstreamModel] = []
         self.model = self._make_model()
 
     def _make_model(self) -> UpstreamModel:
         return UpstreamModel(self.name, uuid.uuid4().hex, self.checks, 4)
 
     def restart(self) -> None:
-        """Start a new process that remembers nothing."""
-        self.past.append(self.model)
+        """Start a new process without state."""
+        self.past_models.append(self.model)
         self.model = self._make_model()
         self.buffer.clear()
-        self.state = Running.RUNNING
+        self.state = ProcessState.RUNNING
 
     def resume(self, now: float) -> None:
-        """Go on, and work off what came in meanwhile."""
-        self.state = Running.RUNNING
+        """Continue after a pause, and handle the buffered calls."""
+        self.state = ProcessState.RUNNING
         buffer, self.buffer = self.buffer, []
         for call in buffer:
             call(now)
 
-    def order(self, call: ControlCall, orderer: str, now: float, life: float):
-        """Obey a control call now; return what the answer holds."""
+    def handle_control_call(
+        self, call: ControlCall, orderer: str, now: float, life: float
+    ):
+        """Handle a control call; return the fields of the answer."""
         clock = self.clock.read(now)
         previous, held = self.model.orderer, self.model.measure_held(clock)
         refused: list[ShardKey] = []
@@ -121,25 +123,25 @@
 
 
 class FakeKeeper:
-    """The decisions of one keeper, and what its tasks remember."""
+    """The decision logic of one keeper and the state of its tasks."""
 
     def __init__(self, host: str, clock: Clock, world: "World") -> None:
         self.host = HostName(host)
         self.link = LinkAddress(f"link-{host}")
         self.clock = clock
         self.world = world
-        self.state = Running.RUNNING
+        self.state = ProcessState.RUNNING
         self.start()
 
     def start(self) -> None:
-        """Begin as a new process that remembers nothing."""
+        """Start as a new process without state."""
         now = self.clock.read(self.world.now)
-        self.state = Running.RUNNING
+        self.state = ProcessState.RUNNING
         self.incarnation = uuid.uuid4().hex
         self.liveness = Liveness(self.world.timing.silence)
         self.view = DataCentreView(
             self.host,
-            CENTRE,
+            DATA_CENTRE,
             Member(self.link, ""),
             self.world.timing,
             self.liveness,
@@ -148,56 +150,60 @@
         self.cache = RecordCache()
         self.leases: dict[UpstreamName, UpstreamLease] = {}
         self.logs: dict[UpstreamName, OperationLog] = {}
-        self.late: list[tuple[UpstreamName, ControlCall, float]] = []
-        self.late_plan: AssignmentChange | None = None
+        self.delayed_calls: list[tuple[UpstreamName, ControlCall, float]] = []
+        self.delayed_change: AssignmentChange | None = None
         self.pause_at_write = False
 
     @property
     def orderer(self) -> str:
-        """Name by which upstreams know this process."""
+        """Host and incarnation by which upstreams identify this process."""
         return f"{self.host}/{self.incarnation}"
 
     @property
-    def text_revision(self) -> Revision:
-        """Revision of the text in force."""
+    def configuration_revision(self) -> Revision:
+        """Revision of the configuration that this keeper applies."""
         return self.cache.find_revision(CONFIGURATION_KEY)
 
     def pause(self) -> None:
-        """Stop between deciding on the next orders and sending them."""
+        """Pause after choosing the next control calls, before sending them."""
         now = self.clock.read(self.world.now)
-        self.state = Running.PAUSED
-        self.late = [
+        self.state = ProcessState.PAUSED
+        self.delayed_calls = [
             (name, lease.next_call(now), now)
             for name, lease in self.leases.items()
         ]
 
     def resume(self) -> None:
-        """Go on with what was about to be sent."""
-        self.state = Running.RUNNING
-        late, self.late = self.late, []
-        for name, call, decided_at in late:
+        """Continue after a pause, and send the delayed calls and change."""
+        self.state = ProcessState.RUNNING
+        delayed_calls, self.delayed_calls = self.delayed_calls, []
+        for name, call, decided_at in delayed_calls:
             self.send(name, call, decided_at)
-        plan, self.late_plan = self.late_plan, None
-        if plan is not None:
-            self._write(plan)
+        change, self.delayed_change = self.delayed_change, None
+        if change is not None:
+            self._write_change(change)
 
-    def take_record(self, assignment: Assignment, revision: Revision) -> None:
-        """Take in an assignment as from the store or a peer."""
+    def apply_assignment(
+        self, assignment: Assignment, revision: Revision
+    ) -> None:
+        """Apply an assignment from the store or a peer."""
         self.view.take_assignment(assignment, revision)
 
-    def apply_configuration(self, text: Text, revision: Revision) -> None:
-        """Take in a text unless a newer one is in force."""
+    def apply_configuration(
+        self, configuration: Text, revision: Revision
+    ) -> None:
+        """Apply a configuration unless a newer one is known."""
         if self.cache.apply(Record(CONFIGURATION_KEY, revision, b"")):
-            self.view.apply_configuration(text)
+            self.view.apply_configuration(configuration)
 
     def tick(self) -> None:
-        """Do one round of everything the daemon's loops do."""
+        """Run one iteration of each loop of the daemon."""
         now = self.clock.read(self.world.now)
-        self._ask_peers(now)
+        self._sync_with_peers(now)
         if self.view.is_watching(now):
-            self._ask_store(now)
+            self._read_store(now)
         authorization = self.view.renew(now)
-        self._claim(now)
+        self._update_leases(now)
         for name, lease in list(self.leases.items()):
             lease.update(authorization)
             for _ in range(2):
@@ -206,39 +212,43 @@
                 kind = lease.next_call(now).kind
                 if not answered or kind is call.kind:
                     break
-        self._report(now)
-        plan = self.view.plan(now, ChangeId(uuid.uuid4().hex))
-        if plan is not None:
-            self._write(plan)
+        self._send_reports(now)
+        change = self.view.plan(now, ChangeId(uuid.uuid4().hex))
+        if change is not None:
+            self._write_change(change)
 
-    def _ask_peers(self, now: float) -> None:
+    def _sync_with_peers(self, now: float) -> None:
         for peer in self.world.list_reachable_keepers(self.host):
-            said = peer.view.make_member_report(
+            member_report = peer.view.make_member_report(
                 peer.clock.read(self.world.now)
             )
             self.liveness.note_answer(peer.link, now, peer.view.leaving)
-            self.view.note_member_report(peer.host, now, said, now)
+            self.view.note_member_report(peer.host, now, member_report, now)
             peer.view.note_joiner(
                 self.host,
                 Member(self.link, ""),
                 peer.clock.read(self.world.now),
             )
-            self.take_record(peer.view.assignment, peer.view.revision)
+            self.apply_assignment(peer.view.assignment, peer.view.revision)
             if peer.view.text is not None:
-                self.apply_configuration(peer.view.text, peer.text_revision)
+                self.apply_configuration(
+                    peer.view.text, peer.configuration_revision
+                )
 
-    def _ask_store(self, now: float) -> None:
-        self.view.store_unavailable = not self.world.reaches_store(self.host)
+    def _read_store(self, now: float) -> None:
+        self.view.store_unavailable = not self.world.can_reach_store(self.host)
         if self.view.store_unavailable:
             return
         assignment, revision = self.world.read_assignment()
         if revision:
-            self.take_record(assignment, revision)
+            self.apply_assignment(assignment, revision)
         self.view.authority.note_store(now, revision)
-        if self.world.text_revision:
-            self.apply_configuration(self.world.text, self.world.text_revision)
+        if self.world.configuration_revision:
+            self.apply_configuration(
+                self.world.configuration, self.world.configuration_revision
+            )
 
-    def _claim(self, now: float) -> None:
+    def _update_leases(self, now: float) -> None:
         wanted = self.view.list_kept(now)
         for name in list(self.leases):
             if name not in wanted:
@@ -261,7 +271,9 @@
             ),
             now,
         )
-        self.logs[name] = OperationLog(_LOG_WINDOW, _LOG_SIZE, _CLOCK_SKEW)
+        self.logs[name] = OperationLog(
+            _OPERATION_WINDOW, _MAX_OPERATIONS, _CLOCK_SKEW
+        )
 
     def send(
         self, name: UpstreamName, call: ControlCall, asked_at: float
@@ -273,19 +285,23 @@
             return False
         upstream = self.world.upstreams[name]
         life = self.world.timing.grant_life
-        if not self.world.reaches(self.host, name):
+        if not self.world.is_connected(self.host, name):
             lease.note_failure(now)
             return False
-        if upstream.state is Running.PAUSED:
+        if upstream.state is ProcessState.PAUSED:
             upstream.buffer.append(
-                lambda at: upstream.order(call, self.orderer, at, life)
+                lambda at: upstream.handle_control_call(
+                    call, self.orderer, at, life
+                )
             )
             lease.note_failure(now)
             return False
-        if upstream.state is Running.DEAD:
+        if upstream.state is ProcessState.DEAD:
             lease.note_failure(now)
             return False
-        found = upstream.order(call, self.orderer, self.world.now, life)
+        found = upstream.handle_control_call(
+            call, self.orderer, self.world.now, life
+        )
         stamp, previous, held, refused = found
         token = Token(stamp, asked_at, now, upstream.model.incarnation)
         answer = ControlAnswer(token, previous, held, refused)
@@ -295,43 +311,45 @@
         if call.kind is ControlCallKind.GRANT:
             for key, epoch in call.shards.items():
                 if key not in refused:
-                    log.begin_tenure(key, epoch, self.world.wall)
+                    log.begin_tenure(key, epoch, self.world.wall_clock)
         return True
 
-    def _report(self, now: float) -> None:
+    def _send_reports(self, now: float) -> None:
         assigner = self.view.find_assigner(now)
         if assigner is None:
             return
         peer = self.world.keepers[assigner]
-        if peer is not self and not self.world.talks(self.host, assigner):
+        if peer is not self and not self.world.can_reach_keeper(
+            self.host, assigner
+        ):
             return
         at = peer.clock.read(self.world.now)
         for lease in self.leases.values():
             if lease.has_news():
                 peer.view.note_report(lease.make_report(), at)
 
-    def _write(self, plan: AssignmentChange) -> None:
+    def _write_change(self, change: AssignmentChange) -> None:
         if self.pause_at_write:
             self.pause_at_write = False
             self.pause()
-            self.late_plan = plan
+            self.delayed_change = change
             return
-        if not self.world.reaches_store(self.host):
+        if not self.world.can_reach_store(self.host):
             self.view.store_unavailable = True
             return
-        revision = self.world.swap(plan.assignment, plan.expected)
+        revision = self.world.swap(change.assignment, change.expected)
         if revision is None or self.world.store_fault is StoreFault.LOST_REPLY:
             return
-        self.take_record(plan.assignment, revision)
+        self.apply_assignment(change.assignment, revision)
 
 
 class World:
-    """Everything of one data centre, and the true time.
+    """A simulated data centre with its store, and the simulated time.
 
     Parameters
     ----------
-    text : Text
-        Operators' text, revision 1.
+    configuration : Text
+        Initial configuration; its revision is 1.
     keepers : int
         Number of keepers.
     checks_orders : bool
@@ -341,12 +359,12 @@
     check_before_send = True
 
     def __init__(
-        self, text: Text, keepers: int = 3, checks_orders: bool = True
+        self, configuration: Text, keepers: int = 3, checks_orders: bool = True
     ) -> None:
         self.now = 1000.0
         self.timing = Timing()
-        self.text = text
-        self.text_revision = Revision(1)
+        self.configuration = configuration
+        self.configuration_revision = Revision(1)
         self.store = StoreModel()
         self.store_fault = StoreFault.NONE
         self.cuts: set[frozenset[str]] = set()
@@ -361,52 +379,54 @@
             UpstreamName(upstream.name): FakeUpstream(
                 upstream.name, checks_orders, Clock(offset=7.0)
             )
-            for service in text.services
+            for service in configuration.services
             for upstream in service.upstreams
         }
 
     @property
-    def wall(self) -> float:
-        """Unix time."""
-        return WALL + self.now
+    def wall_clock(self) -> float:
+        """Simulated Unix time."""
+        return WALL_CLOCK_OFFSET + self.now
 
-    # Who reaches whom
+    # Network
 
     def cut(self, one: str, other: str) -> None:
-        """Let nothing pass between two names."""
+        """Cut the network between two processes."""
         self.cuts.add(frozenset((one, other)))
 
     def heal(self) -> None:
-        """Undo all cuts."""
+        """Remove all network cuts."""
         self.cuts.clear()
 
-    def reaches(self, one: str, other: str) -> bool:
-        """Tell whether messages pass between two names."""
+    def is_connected(self, one: str, other: str) -> bool:
+        """Return whether the network between two processes is not cut."""
         return frozenset((one, other)) not in self.cuts
 
-    def reaches_store(self, name: str) -> bool:
-        """Tell whether a call to the store gets an answer."""
+    def can_reach_store(self, name: str) -> bool:
+        """Return whether the store answers calls of a process."""
         if self.store_fault is StoreFault.DOWN:
             return False
-        return self.reaches(name, STORE)
+        return self.is_connected(name, STORE)
 
-    def talks(self, one: str, other: str) -> bool:
-        """Tell whether two keepers hear each other."""
+    def can_reach_keeper(self, one: str, other: str) -> bool:
+        """Return whether a keeper runs and a process is connected to it."""
         peer = self.keepers[HostName(other)]
-        return peer.state is Running.RUNNING and self.reaches(one, other)
+        return peer.state is ProcessState.RUNNING and self.is_connected(
+            one, other
+        )
 
     def list_reachable_keepers(self, host: str) -> list[FakeKeeper]:
-        """Return the other keepers that answer a host."""
+        """Return the other keepers that a host can reach."""
         return [
             peer
             for name, peer in self.keepers.items()
-            if name != host and self.talks(host, name)
+            if name != host and self.can_reach_keeper(host, name)
         ]
 
     # The store
 
     def read_assignment(self) -> tuple[Assignment, Revision]:
-        """Return what the store holds."""
+        """Return the assignment in the store and its revision."""
         record = self.store.read(KEY)
         revision = NO_REVISION if record is None else record.revision
         return self.assignment, revision
@@ -414,47 +434,47 @@
     def swap(
         self, assignment: Assignment, expected: Revision
     ) -> Revision | None:
-        """Write an assignment by compare-and-swap; None when refused."""
+        """Write an assignment by compare-and-swap; return None on conflict."""
         result = self.store.swap(KEY, b"", expected)
         if not result.swapped:
             return None
         self.assignment = assignment
         return result.revision
 
-    def edit_text(self, text: Text) -> None:
-        """Put a text in force at the store."""
-        self.text = text
-        self.text_revision = Revision(self.text_revision + 1)
+    def edit_configuration(self, configuration: Text) -> None:
+        """Store a new revision of the configuration."""
+        self.configuration = configuration
+        self.configuration_revision = Revision(self.configuration_revision + 1)
 
     # Time
 
     def tick(self) -> None:
-        """Let one step of time pass."""
+        """Advance the time by one tick and run every running keeper."""
         self.now += TICK
         for keeper in self.keepers.values():
-            if keeper.state is Running.RUNNING:
+            if keeper.state is ProcessState.RUNNING:
                 keeper.tick()
 
-    # What is true
+    # Actual state, for checks
 
     def list_owners(self, key: ShardKey) -> list[UpstreamName]:
-        """Return every process that would act as owner of a shard now."""
+        """Return the upstreams that consider themselves owner of a shard."""
         return [
             upstream.name
             for upstream in self.upstreams.values()
-            if upstream.state is not Running.DEAD
+            if upstream.state is not ProcessState.DEAD
             and upstream.model.owns(key, upstream.clock.read(self.now))
         ]
 
     def list_keys(self) -> list[ShardKey]:
-        """Return all shards."""
+        """Return the keys of all shards."""
         return [
             ShardKey(SERVICE, Shard(number))
-            for service in self.text.services
+            for service in self.configuration.services
             for number in range(service.shards or 0)
         ]
 
     def find_epoch(self, key: ShardKey) -> Epoch:
-        """Return a shard's epoch in the store."""
+        """Return the epoch of a shard in the stored assignment."""
         owner = self.assignment.find_owner(key)
         return Epoch(0) if owner is None else owner.epoch
--- a/sedgetide/testing/worldrequests.py
+++ b/sedgetide/testing/worldrequests.py
@@ -1,4 +1,4 @@
-"""Callers' requests in the small world of :mod:`sedgetide.testing.world`."""
+"""Requests of callers in the simulation of :mod:`sedgetide.testing.world`."""
 
 import msgspec
 
@@ -21,16 +21,16 @@
 from sedgetide.testing.upstreammodel import JournalEntry
 from sedgetide.testing.upstreammodel import UpstreamModel
 from sedgetide.testing.world import FakeKeeper
-from sedgetide.testing.world import Running
+from sedgetide.testing.world import ProcessState
 from sedgetide.testing.world import World
 
 DEADLINE = 3.0
 SERVICE_TIME = 0.1
-_GRACE = 0.1
+_RESPONSE_GRACE = 0.1
 
 
 class Told(msgspec.Struct, frozen=True):
-    """What a caller was told of one attempt."""
+    """Outcome of an attempt as reported to the caller."""
 
     operation: OperationId
     outcome: Outcome
@@ -39,14 +39,15 @@
 
 
 class Attempt(msgspec.Struct, eq=False):
-    """One attempt at an operation.
+    """A caller's attempt at an operation.
 
     Parameters
     ----------
     phase : Phase
-        Furthest phase it reached.
+        Last phase that it reached.
     sent_to : FakeKeeper or None
-        Keeper it was handed to, with that process's incarnation.
+        Keeper that it was sent to; ``incarnation`` is that of its process
+        then.
     """
 
     operation: OperationId
@@ -67,26 +68,26 @@
 
     @property
     def deadline(self) -> float:
-        """True time by which the caller needs the answer."""
+        """Simulated time by which the caller needs the answer."""
         return self.began + DEADLINE
 
 
 class Callers:
-    """An entry with its callers.
+    """Callers and the entry that serves them.
 
     Parameters
     ----------
     world : World
-        Where the requests go.
+        World that serves the requests.
     name : str
-        Name of the entry for cuts.
+        Name of the entry, by which network cuts refer to it.
     """
 
     def __init__(self, world: World, name: str = "e1") -> None:
         self.world = world
         self.name = name
         self.attempts: list[Attempt] = []
-        self.open: list[Attempt] = []
+        self.open_attempts: list[Attempt] = []
         self.told: list[Told] = []
 
     def send(
@@ -95,46 +96,50 @@
         idempotent: bool = False,
         operation: OperationId | None = None,
     ) -> Attempt:
-        """Begin an operation, or repeat one."""
-        issued = operation or OperationId(make_operation_id(self.world.wall))
+        """Start an operation, or repeat the one given."""
+        issued = operation or OperationId(
+            make_operation_id(self.world.wall_clock)
+        )
         attempt = Attempt(
             issued, key, idempotent, operation is None, self.world.now
         )
         self.attempts.append(attempt)
-        self.open.append(attempt)
+        self.open_attempts.append(attempt)
         return attempt
 
     def tick(self) -> None:
-        """Bring every open attempt one step further."""
-        for attempt in list(self.open):
+        """Advance every open attempt by one step."""
+        for attempt in list(self.open_attempts):
             self._advance(attempt)
             if attempt.told is not None:
-                self.open.remove(attempt)
+                self.open_attempts.remove(attempt)
                 self.told.append(attempt.told)
 
     def _advance(self, attempt: Attempt) -> None:
         now = self.world.now
         keeper = attempt.sent_to
         if keeper is None:
-            self._hand_over(attempt)
+            self._send_to_keeper(attempt)
             return
-        gone = keeper.incarnation != attempt.incarnation
-        gone = gone or keeper.state is Running.DEAD
-        if not gone and keeper.state is Running.RUNNING:
-            self._work(attempt, keeper)
+        keeper_gone = keeper.incarnation != attempt.incarnation
+        keeper_gone = keeper_gone or keeper.state is ProcessState.DEAD
+        if not keeper_gone and keeper.state is ProcessState.RUNNING:
+            self._advance_at_keeper(attempt, keeper)
         if attempt.told is not None:
             return
-        heard = not gone and self.world.talks(self.name, keeper.host)
-        if heard:
+        keeper_answers = not keeper_gone and self.world.can_reach_keeper(
+            self.name, keeper.host
+        )
+        if keeper_answers:
             attempt.unheard_since = now
         silent = now - attempt.unheard_since > self.world.timing.silence
-        if silent or now > attempt.deadline + _GRACE:
-            # The keeper may have handed the request over already.
+        if silent or now > attempt.deadline + _RESPONSE_GRACE:
+            # The keeper may already have sent the request to the upstream.
             reason = Reason.LINK_LOST if silent else Reason.SILENT
-            self._fail(attempt, Outcome.UNKNOWN, reason)
+            self._retry_or_fail(attempt, Outcome.UNKNOWN, reason)
 
     def _find_keeper(self, attempt: Attempt) -> FakeKeeper | None:
-        """Return the first keeper of the owner that answers."""
+        """Return the first reachable keeper of the shard's owner."""
         for peer in self._list_peers():
             owner = peer.view.assignment.find_owner(attempt.key)
             if owner is None or owner.state is not ShardState.OWNED:
@@ -142,25 +147,25 @@
             attempt.upstream = owner.upstream
             members = peer.view.assignment.members
             for host in rank_candidates(owner.upstream, members):
-                if self.world.talks(self.name, host):
+                if self.world.can_reach_keeper(self.name, host):
                     return self.world.keepers[HostName(host)]
         return None
 
     def _list_peers(self) -> list[FakeKeeper]:
-        """Return keepers the entry learns from, newest knowledge first."""
+        """Return the reachable keepers, newest assignment first."""
         peers = [
             peer
             for name, peer in self.world.keepers.items()
-            if self.world.talks(self.name, name)
+            if self.world.can_reach_keeper(self.name, name)
         ]
         peers.sort(key=lambda peer: -peer.view.revision)
         return peers
 
-    def _hand_over(self, attempt: Attempt) -> None:
+    def _send_to_keeper(self, attempt: Attempt) -> None:
         keeper = self._find_keeper(attempt)
         if keeper is None:
             reason = Reason.MOVING if self._list_peers() else Reason.CUT_OFF
-            self._fail(attempt, Outcome.NOT_RUN, reason)
+            self._retry_or_fail(attempt, Outcome.NOT_RUN, reason)
             return
         attempt.sent_to = keeper
         attempt.incarnation = keeper.incarnation
@@ -168,57 +173,61 @@
 
     # At the keeper
 
-    def _work(self, attempt: Attempt, keeper: FakeKeeper) -> None:
+    def _advance_at_keeper(self, attempt: Attempt, keeper: FakeKeeper) -> None:
         if attempt.phase is Phase.ACCEPTED:
-            self._queue(attempt, keeper)
+            self._enqueue(attempt, keeper)
         elif attempt.phase is Phase.QUEUED:
-            self._send(attempt, keeper)
+            self._send_to_upstream(attempt, keeper)
         elif attempt.phase is Phase.HANDED_OVER:
-            self._wait(attempt, keeper)
+            self._check_answer(attempt, keeper)
 
-    def _queue(self, attempt: Attempt, keeper: FakeKeeper) -> None:
+    def _enqueue(self, attempt: Attempt, keeper: FakeKeeper) -> None:
         lease = keeper.leases.get(attempt.upstream)
         if lease is None or lease.standing_back or keeper.view.leaving:
             self._reply(attempt, keeper, Outcome.NOT_RUN, Reason.NOT_KEEPER)
             return
         attempt.phase = Phase.QUEUED
 
-    def _expires(self, attempt: Attempt, keeper: FakeKeeper) -> float:
+    def _convert_deadline(self, attempt: Attempt, keeper: FakeKeeper) -> float:
         return keeper.clock.read(attempt.deadline)
 
-    def _send(self, attempt: Attempt, keeper: FakeKeeper) -> None:
+    def _send_to_upstream(self, attempt: Attempt, keeper: FakeKeeper) -> None:
         world = self.world
         lease = keeper.leases.get(attempt.upstream)
         now = keeper.clock.read(world.now)
-        obstacle: Reason | None = Reason.NOT_KEEPER
+        refusal_reason: Reason | None = Reason.NOT_KEEPER
         if lease is not None:
-            obstacle = lease.find_refusal_reason(
-                attempt.key, self._expires(attempt, keeper), now
+            refusal_reason = lease.find_refusal_reason(
+                attempt.key, self._convert_deadline(attempt, keeper), now
             )
-        if obstacle is not None:
-            self._reply(attempt, keeper, Outcome.NOT_RUN, obstacle)
+        if refusal_reason is not None:
+            self._reply(attempt, keeper, Outcome.NOT_RUN, refusal_reason)
             return
-        if not attempt.idempotent and not self._judge(attempt, keeper):
+        if not attempt.idempotent and not self._admit_operation(
+            attempt, keeper
+        ):
             return
         upstream = world.upstreams[attempt.upstream]
-        reached = world.reaches(keeper.host, upstream.name)
-        if not reached or upstream.state is Running.DEAD:
+        connected = world.is_connected(keeper.host, upstream.name)
+        if not connected or upstream.state is ProcessState.DEAD:
             self._reply(attempt, keeper, Outcome.NOT_RUN, Reason.UNREACHABLE)
             return
         lease.begin_request(attempt.key)
         attempt.phase = Phase.HANDED_OVER
         attempt.model = upstream.model
-        order = (
+        order_context = (
             lease.find_epoch(attempt.key),
             keeper.orderer,
             float(lease.token.stamp)
-            + self._expires(attempt, keeper)
+            + self._convert_deadline(attempt, keeper)
             - lease.token.received_at,
         )
-        if upstream.state is Running.PAUSED:
-            upstream.buffer.append(lambda at: self._arrive(attempt, order, at))
+        if upstream.state is ProcessState.PAUSED:
+            upstream.buffer.append(
+                lambda at: self._deliver(attempt, order_context, at)
+            )
             return
-        declined = self._arrive(attempt, order, world.now)
+        declined = self._deliver(attempt, order_context, world.now)
         if declined:
             lease.end_request(attempt.key)
             attempt.phase = Phase.DECLINED
@@ -226,13 +235,16 @@
                 attempt, keeper, judge_failure(attempt.phase), Reason.NO_GRANT
             )
 
-    def _judge(self, attempt: Attempt, keeper: FakeKeeper) -> bool:
+    def _admit_operation(self, attempt: Attempt, keeper: FakeKeeper) -> bool:
         log = keeper.logs[attempt.upstream]
         verdict = log.judge(
-            attempt.operation, attempt.key, self.world.wall, attempt.first
+            attempt.operation,
+            attempt.key,
+            self.world.wall_clock,
+            attempt.first,
         )
         if verdict is Admission.RUN:
-            log.begin(attempt.operation, self.world.wall)
+            log.begin(attempt.operation, self.world.wall_clock)
             attempt.owns_operation = True
             return True
         if verdict is Admission.REPEAT:
@@ -244,11 +256,14 @@
             )
         return False
 
-    def _arrive(
-        self, attempt: Attempt, order: tuple[int, str, float], now: float
+    def _deliver(
+        self,
+        attempt: Attempt,
+        order_context: tuple[int, str, float],
+        now: float,
     ) -> str:
-        """Take a request at the upstream; return why it is declined."""
-        epoch, orderer, expires = order
+        """Deliver a request to the upstream; return why it is declined."""
+        epoch, orderer, expires = order_context
         upstream = self.world.upstreams[attempt.upstream]
         if upstream.model is not attempt.model:
             return "gone"
@@ -270,28 +285,28 @@
             upstream.model.begin(attempt.entry)
         return declined
 
-    def _wait(self, attempt: Attempt, keeper: FakeKeeper) -> None:
+    def _check_answer(self, attempt: Attempt, keeper: FakeKeeper) -> None:
         world = self.world
         upstream = world.upstreams[attempt.upstream]
         alive = (
             upstream.model is attempt.model
-            and upstream.state is not Running.DEAD
+            and upstream.state is not ProcessState.DEAD
         )
-        running = upstream.state is Running.RUNNING
+        running = upstream.state is ProcessState.RUNNING
         if alive and running and attempt.entry is not None:
             done = world.now >= attempt.entry.began + SERVICE_TIME
             if done:
                 attempt.entry.ended = world.now
-                reached = world.reaches(keeper.host, upstream.name)
-                if reached:
-                    self._end(attempt, keeper, Phase.ANSWERED)
+                connected = world.is_connected(keeper.host, upstream.name)
+                if connected:
+                    self._finish(attempt, keeper, Phase.ANSWERED)
                     return
         if not alive:
-            self._end(attempt, keeper, attempt.phase, Reason.BAD_ANSWER)
+            self._finish(attempt, keeper, attempt.phase, Reason.BAD_ANSWER)
         elif world.now >= attempt.deadline:
-            self._end(attempt, keeper, attempt.phase, Reason.SILENT)
+            self._finish(attempt, keeper, attempt.phase, Reason.SILENT)
 
-    def _end(
+    def _finish(
         self,
         attempt: Attempt,
         keeper: FakeKeeper,
@@ -322,17 +337,17 @@
             else:
                 log.finish(attempt.operation, told)
             attempt.owns_operation = False
-        if not self.world.talks(self.name, keeper.host):
+        if not self.world.can_reach_keeper(self.name, keeper.host):
             return
         if outcome is Outcome.ANSWERED:
             attempt.told = told
         else:
-            self._fail(attempt, outcome, reason)
+            self._retry_or_fail(attempt, outcome, reason)
 
-    def _fail(
+    def _retry_or_fail(
         self, attempt: Attempt, outcome: Outcome, reason: Reason
     ) -> None:
-        """End an attempt, or send it once more."""
+        """Send an attempt again when allowed, else end it."""
         transient = reason in TRANSIENT_REASONS
         outcome = attempt.outcome = combine_outcomes(attempt.outcome, outcome)
         again = may_resend(outcome, attempt.idempotent) and (
--- a/tests/testing/test_matrix.py
+++ b/tests/testing/test_matrix.py
@@ -1,4 +1,4 @@
-"""The fault matrix on the decisions, and proof that it can fail."""
+"""Tests that the fault matrix holds, and that it detects mutations."""
 
 import os
 
@@ -53,15 +53,16 @@
             self.assertNotEqual((), mutation.run().broken, mutation.name)
 
     def test_frozen_unchecked_upstream_is_not_proved(self):
-        # Such an upstream obeys the renewals that lay in its socket buffer
-        # while it was frozen, after its shards went to another. If this
-        # cell ever holds, the operators' page promises too little.
+        # An upstream that does not check orders obeys renewals left in its
+        # socket buffer during a freeze, after its shards were reassigned. If
+        # this cell ever holds, the limit stated in the documentation is out
+        # of date.
         cell = run_cell(("upstream frozen",), "renewal", False)
         self.assertNotEqual((), cell.broken)
 
 
 class RandomWalk(RuleBasedStateMachine):
-    """Any fault at any time, several at once."""
+    """Injects any fault at any time, also several at once."""
 
     def __init__(self):
         super().__init__()
@@ -69,7 +70,7 @@
         STEPS["renewal"](self.scenario)
 
     @rule(fault=st.sampled_from(sorted(FAULTS)))
-    def strike(self, fault):
+    def trigger_fault(self, fault):
         FAULTS[fault](self.scenario)
         self.scenario.tick()
 
