--- a/sedgetide/daemons/_assignmentwriter.py
+++ b/sedgetide/daemons/_assignmentwriter.py
@@ -22,7 +22,7 @@
         Store client for writes; the creator closes it.
     key : str
         Store key of the assignment.
-    owner : StoreListener
+    listener : StoreListener
         Receives the record that the store holds after a write.
     """
 
--- a/sedgetide/daemons/_heartbeats.py
+++ b/sedgetide/daemons/_heartbeats.py
@@ -54,7 +54,7 @@
         Records known to this process.
     timing : Timing
         Heartbeat interval and silence timeout.
-    owner : HeartbeatHandler
+    handler : HeartbeatHandler
         Supplies the status; notified of peers and records.
     """
 
@@ -114,7 +114,7 @@
         return self._pong_times[address]
 
     def is_known_silent(self, address: LinkAddress, now: float) -> bool:
-        """Tell whether a peer has left pings unanswered for too long.
+        """Return whether a peer has left pings unanswered for too long.
 
         A peer that was not pinged recently is not known to be silent.
         """
--- a/sedgetide/testing/upstreammodel.py
+++ b/sedgetide/testing/upstreammodel.py
@@ -39,8 +39,8 @@
 class UpstreamModel:
     """Grants, fences, slots and the journal of one upstream.
 
-    A fence is the highest epoch at which a shard was granted or released; a
-    grant with a lower epoch is refused.
+    A fence is the epoch of the last grant or release of a shard. An upstream
+    that checks orders refuses grants with a lower epoch.
 
     Parameters
     ----------
