--- a/sedgetide/daemons/_deployment.py
+++ b/sedgetide/daemons/_deployment.py
@@ -42,7 +42,7 @@
 from sedgetide.runtime.events import log_event
 from sedgetide.runtime.signals import ChangeSignal
 
-_MOST_REMOVED = 2000
+_MAX_REMOVED = 2000
 
 
 class KnownTable(msgspec.Struct, frozen=True):
@@ -96,17 +96,17 @@
 
     def __init__(
         self,
-        catalogue: RegistryDialect,
+        registry: RegistryDialect,
         evacuations: Evacuations | None = None,
         cold_terms: ColdTolerance | None = None,
     ) -> None:
         self.directory = UpstreamDirectory(evacuations=evacuations)
-        self._cold_terms = cold_terms or ColdTolerance()
+        self._cold_tolerance = cold_terms or ColdTolerance()
         self.policy: Policy | None = None
         self.routes: RouteTable | None = None
         self.tables: dict[ServiceName, KnownTable] = {}
-        self._moved: dict[ServiceName, set[Tenure]] = {}
-        self._sightings: dict[ServiceName, MoveObservations] = {}
+        self._completed_moves: dict[ServiceName, set[Tenure]] = {}
+        self._move_observations: dict[ServiceName, MoveObservations] = {}
         self.leader: KnownLeader | None = None
         self.changes = ChangeSignal()
         self.heard_at = float("-inf")
@@ -116,10 +116,10 @@
         self.backoffs = Backoffs()
         self.quarantine = Quarantine()
         self.recorded_quarantine = KnownQuarantine()
-        self._catalogue = catalogue
+        self._registry = registry
         self._items: dict[str, Item] = {}
-        self._doubted: dict[str, EvacuationRequest] = {}
-        self._forgotten = NO_POSITION
+        self._pending_evacuations: dict[str, EvacuationRequest] = {}
+        self._compacted_to = NO_POSITION
         self.as_of = NO_POSITION
         self._era = FIRST_ERA
         self._era_since = float("-inf")
@@ -151,7 +151,7 @@
         """Return when all that live have registered since the last return."""
         return self._era_since + RETURN_GRACE
 
-    def note_hosts(self, hosts: int) -> None:
+    def update_host_count(self, hosts: int) -> None:
         """Take in how many hosts there are.
 
         The largest number ever heard stays: a leader that is cut off from
@@ -218,20 +218,20 @@
             if known is not None and item.position <= known.position:
                 continue
             self._items[item.key] = item
-            self._take(item, now, from_backup)
+            self._apply_item(item, now, from_backup)
             taken = True
         if taken:
-            self._forget_removed()
+            self._compact_removed()
             self.changes.notify_all()
 
-    def _forget_removed(self) -> None:
+    def _compact_removed(self) -> None:
         """Bound what is kept of keys that are gone."""
         removed = [each for each in self._items.values() if each.value is None]
-        if len(removed) <= _MOST_REMOVED:
+        if len(removed) <= _MAX_REMOVED:
             return
         removed.sort(key=lambda each: each.position)
         for item in removed[: len(removed) // 2]:
-            self._forgotten = max(self._forgotten, item.position)
+            self._compacted_to = max(self._compacted_to, item.position)
             del self._items[item.key]
 
     def find_item(self, key: str) -> Item | None:
@@ -243,7 +243,7 @@
 
         What another era has brought about is not known one by one.
         """
-        if position < self._forgotten or position.era != self.as_of.era:
+        if position < self._compacted_to or position.era != self.as_of.era:
             return None
         return [
             item for item in self._items.values() if item.position > position
@@ -255,21 +255,21 @@
             item for item in self._items.values() if item.value is not None
         ]
 
-    def _take(self, item: Item, now: float, from_backup: bool) -> None:
+    def _apply_item(self, item: Item, now: float, from_backup: bool) -> None:
         key = item.key
         try:
             own = parse_key(key)
             if own is None:
-                self._take_other(key, item.value, now, from_backup)
+                self._apply_registry_item(key, item.value, now, from_backup)
             else:
-                self._take_own(own, item.value, item.position, now)
+                self._apply_record(own, item.value, item.position, now)
         except UnreadableEntry as error:
             self.directory.mark_unreadable(error.upstream, now)
             log_event(Event.ENTRY_REFUSED, key=key, problem=error.detail[:200])
         except (InputError, msgspec.MsgspecError) as error:
             log_event(Event.RECORD_REFUSED, key=key, problem=error)
 
-    def _take_own(
+    def _apply_record(
         self,
         name: RecordKey,
         value: bytes | None,
@@ -280,15 +280,15 @@
         current = name.era == position.era
         written_at = Position(name.era, position.revision)
         if name.is_leader and current:
-            self._take_leader(value, written_at)
+            self._apply_leader(value, written_at)
         elif name.is_quarantine:
-            self._take_quarantine(value, written_at, current, now)
+            self._apply_quarantine(value, written_at, current, now)
         elif name.service is not None and value is not None:
             # Owners are never removed; what is known stays the best guess.
             table = decode_ranges(value)
             self.update_table(name.service, table, written_at, now)
 
-    def _take_leader(self, value: bytes | None, position: Position) -> None:
+    def _apply_leader(self, value: bytes | None, position: Position) -> None:
         if value is None:
             self.leader = None
         else:
@@ -297,7 +297,7 @@
         name = "" if self.leader is None else self.leader.record.host
         log_event(Event.LEADER, leader=name, revision=position)
 
-    def _take_quarantine(
+    def _apply_quarantine(
         self,
         value: bytes | None,
         position: Position,
@@ -322,10 +322,14 @@
         known = self.tables.get(service)
         if known is not None and known.position >= position:
             return
-        moved = self._moved.get(service, set()).intersection(table.tenures)
-        self._moved[service] = moved
-        sightings = self._sightings.setdefault(service, MoveObservations())
-        sightings.note_table(table, now)
+        moved = self._completed_moves.get(service, set()).intersection(
+            table.tenures
+        )
+        self._completed_moves[service] = moved
+        observations = self._move_observations.setdefault(
+            service, MoveObservations()
+        )
+        observations.note_table(table, now)
         self.tables[service] = KnownTable(table.complete(moved), position)
         self.changes.notify_all()
 
@@ -340,29 +344,29 @@
         known = self.tables.get(service)
         if known is None:
             return
-        self._moved.setdefault(service, set()).update(moved)
+        self._completed_moves.setdefault(service, set()).update(moved)
         self.tables[service] = KnownTable(
             known.table.complete(moved), known.position
         )
         self.changes.notify_all()
 
-    def _take_other(
+    def _apply_registry_item(
         self, key: str, value: bytes | None, now: float, from_backup: bool
     ) -> None:
-        entry = self._catalogue.read(key, value)
-        self._doubted.pop(key, None)
+        entry = self._registry.read(key, value)
+        self._pending_evacuations.pop(key, None)
         if isinstance(entry, RegisteredUpstream):
-            self._note_entry(entry)
+            self._log_entry_change(entry)
             self.directory.put(entry, now, from_backup)
         elif isinstance(entry, UpstreamWithdrawn):
             log_event(Event.UPSTREAM_WITHDRAWN, upstream=entry.upstream)
             self.directory.remove(entry.upstream, now)
         elif isinstance(entry, EvacuationRequest) and from_backup:
-            self._doubted[key] = entry
+            self._pending_evacuations[key] = entry
         elif isinstance(entry, EvacuationRequest):
-            self._take_wish(entry, now)
+            self._apply_evacuation_request(entry, now)
         elif isinstance(entry, Policy):
-            self._take_policy(entry)
+            self._apply_policy(entry)
 
     def apply_pending_evacuations(self, now: float) -> None:
         """Take in what a copy shows and nobody has written again since.
@@ -371,23 +375,25 @@
         does not know of would end for a moment, and one that was taken back
         would begin again.
         """
-        if self._doubted and now >= self.find_reregistration_end():
-            doubted, self._doubted = self._doubted, {}
-            for wish in doubted.values():
-                self._take_wish(wish, now)
+        if self._pending_evacuations and now >= self.find_reregistration_end():
+            pending, self._pending_evacuations = self._pending_evacuations, {}
+            for request in pending.values():
+                self._apply_evacuation_request(request, now)
             self.changes.notify_all()
 
-    def _take_wish(self, wish: EvacuationRequest, now: float) -> None:
+    def _apply_evacuation_request(
+        self, request: EvacuationRequest, now: float
+    ) -> None:
         evacuations = self.directory.evacuations
-        if wish.asked:
-            if evacuations.start(wish.data_centre, self.heard_at, now):
-                log_event(Event.EVACUATION, data_centre=wish.data_centre)
+        if request.asked:
+            if evacuations.start(request.data_centre, self.heard_at, now):
+                log_event(Event.EVACUATION, data_centre=request.data_centre)
             return
-        seconds = evacuations.cancel(wish.data_centre, now)
+        seconds = evacuations.cancel(request.data_centre, now)
         if seconds is not None:
             log_event(
                 Event.TAKEN_BACK,
-                data_centre=wish.data_centre,
+                data_centre=request.data_centre,
                 seconds=f"{seconds:.1f}",
             )
 
@@ -422,10 +428,10 @@
         rate = self.find_cold_rate(upstream, now)
         if rate is None:
             return None
-        terms = self._cold_terms
+        terms = self._cold_tolerance
         return compute_cold_send_limit(rate, terms.overrun, terms.slack)
 
-    def _note_entry(self, entry: RegisteredUpstream) -> None:
+    def _log_entry_change(self, entry: RegisteredUpstream) -> None:
         known = self.directory.find(entry.name)
         if known is None or known.leaving != entry.leaving:
             log_event(
@@ -443,7 +449,7 @@
             log_event(Event.LEAVING, upstream=upstream)
             self.changes.notify_all()
 
-    def _take_policy(self, policy: Policy) -> None:
+    def _apply_policy(self, policy: Policy) -> None:
         if self.policy is not None and policy.version <= self.policy.version:
             return
         self.policy = policy
@@ -457,21 +463,21 @@
 
     def find_known_since(self, service: ServiceName, tenure: Tenure) -> float:
         """Return since when each leader knows of a move."""
-        sightings = self._sightings.get(service)
-        if sightings is None:
+        observations = self._move_observations.get(service)
+        if observations is None:
             return float("inf")
-        return sightings.find_known_since(tenure)
+        return observations.find_known_since(tenure)
 
     def find_move_age(
         self, service: ServiceName, key: Key, now: float
     ) -> float:
         """Return for how many seconds a key has been on its way."""
         table = self.find_table(service)
-        sightings = self._sightings.get(service)
+        observations = self._move_observations.get(service)
         tenure = None if table is None else table.find(key)
-        if tenure is None or sightings is None:
+        if tenure is None or observations is None:
             return 0.0
-        first_seen = sightings.find_first_seen(tenure)
+        first_seen = observations.find_first_seen(tenure)
         return 0.0 if first_seen is None else now - first_seen
 
     def find_table_in_era(
--- a/sedgetide/daemons/_election.py
+++ b/sedgetide/daemons/_election.py
@@ -1,4 +1,4 @@
-"""Becoming the leader, and proving again and again to be it."""
+"""Leader election by a record under a lease in the store."""
 
 import contextlib
 import random
@@ -23,27 +23,30 @@
 from sedgetide.runtime.events import Event
 from sedgetide.runtime.events import log_event
 
-_LONGEST_DELAY = 0.4
-_FRESH = 8.0
+_MAX_JITTER = 0.4
+_MAX_STORE_SILENCE = 8.0
 
 
 class Election:
-    """Holds the leader's record for this host, when it can.
+    """Acquires the leader's record for this host and verifies it.
+
+    The record is kept under a lease. Renewing the lease doesn't prove that
+    the record is still there, so the record is read again at intervals.
 
     Parameters
     ----------
     store : LeaseStore
-        Its own client.
+        Client that no other task uses.
     record : LeaderRecord
-        What is written.
+        Record that identifies this process as the leader.
     leadership : Leadership
-        Whether this host leads.
-    knowledge : DeploymentState
-        Who leads, as the store told last.
+        Updated with the result of each write and read of the record.
+    deployment : DeploymentState
+        Current leader, as read from the store.
     durations : Durations
-        Life of the lease.
+        Time to live of the lease and interval of verification.
     processors : float
-        Cores' worth of time that the host has.
+        Number of processor cores available to the host.
     """
 
     def __init__(
@@ -56,63 +59,63 @@
         processors: float = 1.0,
     ) -> None:
         self._store = store
-        self._yield = find_election_delay(processors)
+        self._election_delay = find_election_delay(processors)
         self._record = record
         self._leadership = leadership
         self._deployment = deployment
         self._durations = durations
         self._lease: LeaseId = NO_LEASE
         self._verified_at = float("-inf")
-        self._try_at: float | None = None
+        self._next_try_at: float | None = None
         self._random = random.Random(record.incarnation)
 
     @property
-    def waiting(self) -> bool:
-        """Whether it is about to stand, at a time of its own."""
-        return self._try_at is not None
+    def is_candidate(self) -> bool:
+        """Whether an attempt to become the leader is scheduled."""
+        return self._next_try_at is not None
 
     def step(self, now: float) -> None:
-        """Do what is due: stand, or prove to be leader still."""
+        """Run for leader, or verify the record, if either is due."""
         if self._leadership.is_certainly_lost(now):
-            self._end("proof too old")
+            self._step_down("proof of leadership expired")
         if self._leadership.era_ended:
             if not self._leadership.may_order(now):
-                self._end("the store has come back from a copy")
+                self._step_down("store restored from a backup")
             return
         if self._leadership.term != NO_POSITION:
             if now - self._verified_at >= self._durations.verify:
                 self._verify()
             return
-        if self._is_vacant(now):
-            self._stand(now)
+        if self._should_try(now):
+            self._try_to_lead(now)
 
-    def _is_vacant(self, now: float) -> bool:
-        """Tell whether nobody leads and it is this host's turn to try.
+    def _should_try(self, now: float) -> bool:
+        """Return whether there is no leader and the election delay is over.
 
-        The delay differs from host to host, so that not all ask for a
-        lease at once.
+        The delay is randomized so that not all hosts request a lease at the
+        same time.
         """
-        silent = now - self._deployment.heard_at >= _FRESH
+        silent = now - self._deployment.heard_at >= _MAX_STORE_SILENCE
         if silent or not self._deployment.has_listed_era:
-            self._try_at = None
+            self._next_try_at = None
             return False
-        if self._has_former_record():
-            return self._try_at is None or now >= self._try_at
+        if self._is_own_stale_record():
+            return self._next_try_at is None or now >= self._next_try_at
         if self._deployment.leader is not None:
-            self._try_at = None
+            self._next_try_at = None
             return False
-        if self._try_at is None:
-            delay = self._random.uniform(0.0, _LONGEST_DELAY)
-            self._try_at = now + self._yield + delay
-        return now >= self._try_at
-
-    def _has_former_record(self) -> bool:
-        """Tell whether the leader is a process of this host that has ended.
-
-        After all hosts were killed and are back, the record stays for the
-        rest of its lease, up to 2 s in which no grant is renewed and keys
-        go dark. This process has bound the address at which the one in the
-        record took its reports, so that one is gone.
+        if self._next_try_at is None:
+            delay = self._random.uniform(0.0, _MAX_JITTER)
+            self._next_try_at = now + self._election_delay + delay
+        return now >= self._next_try_at
+
+    def _is_own_stale_record(self) -> bool:
+        """Return whether the record is of an ended process of this host.
+
+        When all hosts have been killed and restarted, the record stays until
+        its lease expires, for up to 2 s in which no grant is renewed and
+        keys become unavailable. This process has bound the address at which
+        the process in the record received reports, so that one has ended.
         """
         leader = self._deployment.leader
         if leader is None or self._leadership.term != NO_POSITION:
@@ -124,12 +127,12 @@
         )
         return same_place and record.incarnation != self._record.incarnation
 
-    def _stand(self, now: float) -> None:
-        self._try_at = now + self._random.uniform(0.5, 1.0)
+    def _try_to_lead(self, now: float) -> None:
+        self._next_try_at = now + self._random.uniform(0.5, 1.0)
         era = self._deployment.as_of.era
         key = make_leader_key(era)
         expected = NO_POSITION
-        if self._has_former_record():
+        if self._is_own_stale_record():
             expected = self._deployment.leader.position
         try:
             lease = self._store.open_lease(self._durations.lease)
@@ -140,9 +143,9 @@
                 [Write(key, msgspec.json.encode(self._record), lease)],
             )
         except StoreConflict:
-            # Ids of leases are given out again in a later era.
+            # After a restore of the store the id may be another host's.
             if self._deployment.has_listed_era:
-                self._drop_lease(lease)
+                self._end_lease(lease)
             return
         except StoreError as error:
             log_event(Event.NOT_ELECTED, error=error)
@@ -152,15 +155,15 @@
         self._leadership.begin(position, asked_at, read_clock())
         log_event(Event.LEADING, term=position)
 
-    def _drop_lease(self, lease: LeaseId) -> None:
+    def _end_lease(self, lease: LeaseId) -> None:
         with contextlib.suppress(StoreError):
             self._store.end_lease(lease)
 
     def _verify(self) -> None:
         """Renew the lease and read the own record.
 
-        The read is the proof: the store may have taken the record away
-        and renew the lease all the same.
+        Only the read proves leadership: the store may remove the record and
+        still renew the lease.
         """
         asked_at = read_clock()
         key = make_leader_key(self._leadership.term.era)
@@ -169,7 +172,7 @@
             item = self._store.read(key)
         except LeaseEnded:
             if not self._leadership.era_ended:
-                self._end("lease ended")
+                self._step_down("lease expired")
             return
         except StoreError as error:
             age = read_clock() - asked_at
@@ -181,21 +184,21 @@
             return
         position = NO_POSITION if item is None else item.position
         if not self._leadership.note_read(position, asked_at):
-            self._end("record taken away")
+            self._step_down("record removed")
 
-    def _end(self, reason: str) -> None:
+    def _step_down(self, reason: str) -> None:
         self._leadership.end()
         self._lease = NO_LEASE
         log_event(Event.LEADING_NO_MORE, reason=reason)
 
     def resign(self) -> None:
-        """Stop to lead, so that another host need not wait for the lease."""
+        """Step down and end the lease, so that no host waits for it."""
         if self._leadership.term == NO_POSITION:
             return
         lease = NO_LEASE if self._leadership.era_ended else self._lease
-        self._end("resigned")
+        self._step_down("resigned")
         if lease != NO_LEASE:
-            self._drop_lease(lease)
+            self._end_lease(lease)
 
     def close(self) -> None:
         """Close the connections to the store."""
--- a/sedgetide/daemons/_evacuationcoordinator.py
+++ b/sedgetide/daemons/_evacuationcoordinator.py
@@ -21,8 +21,8 @@
 
     def __init__(self, deployment: DeploymentState) -> None:
         self._deployment = deployment
-        self._paces: dict[ServiceName, EvacuationPacer] = {}
-        self._known_since: dict[DataCentre, float] = {}
+        self._pacers: dict[ServiceName, EvacuationPacer] = {}
+        self._requested_since: dict[DataCentre, float] = {}
         self._empty: set[DataCentre] = set()
 
     def list_owners(self, table: RangeTable) -> set[IncarnationName]:
@@ -50,18 +50,18 @@
         serving = all(
             directory.find_serving(each, now) is not None for each in owners
         )
-        pace = self._paces.setdefault(service, EvacuationPacer())
-        return pace.allow(left, serving, now)
+        pacer = self._pacers.setdefault(service, EvacuationPacer())
+        return pacer.allow(left, serving, now)
 
     def run_periodic(self, now: float) -> None:
         """Tell once of each evacuated data centre that it is empty."""
         asked = self._deployment.directory.evacuations.list_evacuating()
         self._empty.intersection_update(asked)
-        for name in list(self._known_since):
+        for name in list(self._requested_since):
             if name not in asked:
-                del self._known_since[name]
+                del self._requested_since[name]
         for name in asked:
-            since = self._known_since.setdefault(name, now)
+            since = self._requested_since.setdefault(name, now)
             if name not in self._empty and not self._owns_keys(name):
                 self._empty.add(name)
                 log_event(
--- a/sedgetide/daemons/_feed.py
+++ b/sedgetide/daemons/_feed.py
@@ -23,16 +23,16 @@
 from sedgetide.daemons._itempatches import apply_patch
 from sedgetide.daemons._itempatches import PatchCache
 
-FEED_LIFE = 1.0
-_SUBSCRIBER_LIFE = 3.0
+FEED_TIMEOUT = 1.0
+_SUBSCRIBER_TIMEOUT = 3.0
 # Older knowledge is no better than what the host could ask for itself.
-_OLDEST = 4.0
-ENDED = 1e9
+_MAX_AGE = 4.0
+FEED_ENDED_AGE = 1e9
 # One copy for each of many hosts would keep the leader's link busy.
-_LARGE_BYTES = 32 * 1024
+_LARGE_ITEM_BYTES = 32 * 1024
 # Who has not read one from the store by then is turned away there.
-_READING = 1.0
-_LARGE_EVERY = 0.2
+_STORE_READ_TIME = 1.0
+_LARGE_ITEM_INTERVAL = 0.2
 
 
 class _Subscriber(msgspec.Struct):
@@ -40,14 +40,14 @@
     position: Position
 
 
-def _are_large(items: list[Item]) -> bool:
+def _has_large_item(items: list[Item]) -> bool:
     """Tell whether items are too large to be sent to every host.
 
     A large policy for each of ninety hosts keeps the leader's link busy
     for seconds, and grants and news wait behind it. The store has a link
     for that, and each host reads it there once.
     """
-    return any(len(item.value or b"") > _LARGE_BYTES for item in items)
+    return any(len(item.value or b"") > _LARGE_ITEM_BYTES for item in items)
 
 
 class FeedPublisher:
@@ -69,9 +69,9 @@
         self._deployment = deployment
         self._send = send
         self._subscribers: dict[LinkAddress, _Subscriber] = {}
-        self._book = PatchCache()
-        self._told: dict[LinkAddress, float] = {}
-        self._behind: dict[LinkAddress, float] = {}
+        self._patch_cache = PatchCache()
+        self._referred_at: dict[LinkAddress, float] = {}
+        self._behind_since: dict[LinkAddress, float] = {}
         self._large_at = float("-inf")
 
     def note_report(
@@ -79,9 +79,9 @@
     ) -> None:
         """Take in how far a host is, and tell it what is newer."""
         self._subscribers[link] = _Subscriber(now, position)
-        self._feed(link, self._subscribers[link], now)
+        self._update_subscriber(link, self._subscribers[link], now)
 
-    def tell_era(
+    def announce_era(
         self, link: LinkAddress, position: Position, now: float
     ) -> None:
         """Tell a host that reports to a former leader of the era it missed.
@@ -90,51 +90,51 @@
         learns from nobody else who leads now.
         """
         if position.era >= self._deployment.as_of.era:
-            self._behind.pop(link, None)
+            self._behind_since.pop(link, None)
             return
-        since = self._behind.setdefault(link, now)
-        if now - since >= _READING:
+        since = self._behind_since.setdefault(link, now)
+        if now - since >= _STORE_READ_TIME:
             subscriber = _Subscriber(now, NO_POSITION)
             items = self._deployment.list_present()
-            self._pass_on(link, subscriber, items, [], now)
+            self._send_feed(link, subscriber, items, [], now)
 
     def publish(self, now: float) -> None:
         """Tell all hosts what has come since they were told last."""
         for link, subscriber in list(self._subscribers.items()):
-            if now - subscriber.heard_at > _SUBSCRIBER_LIFE:
+            if now - subscriber.heard_at > _SUBSCRIBER_TIMEOUT:
                 del self._subscribers[link]
-                self._told.pop(link, None)
+                self._referred_at.pop(link, None)
             elif subscriber.position < self._deployment.as_of:
-                self._feed(link, subscriber, now)
+                self._update_subscriber(link, subscriber, now)
 
-    def _feed(
+    def _update_subscriber(
         self, link: LinkAddress, subscriber: _Subscriber, now: float
     ) -> None:
         known = subscriber.position
         if known.era > self._deployment.as_of.era:
             return
         if known.era < self._deployment.as_of.era:
-            self._feed_all(link, subscriber, now)
+            self._send_full_state(link, subscriber, now)
             return
         items = self._deployment.list_newer(known)
         if items is None:
             # It is too far behind; without the feed it lists the store.
             return
-        if _are_large(items) and not self._may_send_large(link, now):
+        if _has_large_item(items) and not self._may_send_large(link, now):
             return
-        whole, patches = self._pack(items, known)
-        self._pass_on(link, subscriber, whole, patches, now)
+        whole, patches = self._split_patches(items, known)
+        self._send_feed(link, subscriber, whole, patches, now)
 
-    def _feed_all(
+    def _send_full_state(
         self, link: LinkAddress, subscriber: _Subscriber, now: float
     ) -> None:
         """Tell a host that knows an earlier era all there is in this one."""
         if self._may_send_large(link, now):
             subscriber.position = NO_POSITION
             items = self._deployment.list_present()
-            self._pass_on(link, subscriber, items, [], now)
+            self._send_feed(link, subscriber, items, [], now)
 
-    def _pass_on(
+    def _send_feed(
         self,
         link: LinkAddress,
         subscriber: _Subscriber,
@@ -143,7 +143,7 @@
         now: float,
     ) -> None:
         age = now - self._deployment.heard_at
-        if age > _OLDEST:
+        if age > _MAX_AGE:
             return
         distrust_seconds = self._deployment.directory.find_outage_grace(now)
         as_of = self._deployment.as_of
@@ -153,12 +153,12 @@
             age,
             distrust_seconds,
             whole,
-            self._count(),
+            self._count_hosts(),
             patches,
         )
         self._send(link, message)
         subscriber.position = as_of
-        self._told.pop(link, None)
+        self._referred_at.pop(link, None)
 
     def _may_send_large(self, link: LinkAddress, now: float) -> bool:
         """Tell whether a host gets a large item from here after all.
@@ -168,54 +168,57 @@
         the large item it would get no other news either. Those get it one
         after the other.
         """
-        told_at = self._told.setdefault(link, now)
-        if told_at == now:
-            self._send_to_store(link)
+        referred_at = self._referred_at.setdefault(link, now)
+        if referred_at == now:
+            self._refer_to_store(link)
             return False
-        if now - told_at < _READING or now - self._large_at < _LARGE_EVERY:
+        if (
+            now - referred_at < _STORE_READ_TIME
+            or now - self._large_at < _LARGE_ITEM_INTERVAL
+        ):
             return False
         self._large_at = now
         return True
 
-    def _pack(
+    def _split_patches(
         self, items: list[Item], known: Position
     ) -> tuple[list[Item], list[Patch]]:
         """Return what is sent whole, and what as a patch."""
         whole = []
         patches = []
         for item in items:
-            self._book.note(item)
-            patch = self._book.find(item, known)
+            self._patch_cache.note(item)
+            patch = self._patch_cache.find(item, known)
             if patch is None:
                 whole.append(item)
             else:
                 patches.append(patch)
         return whole, patches
 
-    def _count(self) -> int:
+    def _count_hosts(self) -> int:
         """Return how many hosts there are, and remember it."""
         hosts = len(self._subscribers) + 1
-        self._deployment.note_hosts(hosts)
+        self._deployment.update_host_count(hosts)
         return hosts
 
-    def _send_to_store(self, link: LinkAddress) -> None:
+    def _refer_to_store(self, link: LinkAddress) -> None:
         as_of = self._deployment.as_of
-        self._send(link, StoreFeed(as_of, as_of, ENDED, 0.0, []))
+        self._send(link, StoreFeed(as_of, as_of, FEED_ENDED_AGE, 0.0, []))
 
     def list_links(self, now: float) -> list[LinkAddress]:
         """Return the hosts that reported lately."""
         return [
             link
             for link, subscriber in self._subscribers.items()
-            if now - subscriber.heard_at <= _SUBSCRIBER_LIFE
+            if now - subscriber.heard_at <= _SUBSCRIBER_TIMEOUT
         ]
 
     def end(self) -> None:
         """Have all hosts follow the store themselves again."""
         for link in self._subscribers:
-            self._send_to_store(link)
+            self._refer_to_store(link)
         self._subscribers.clear()
-        self._told.clear()
+        self._referred_at.clear()
 
 
 class FeedReceiver:
@@ -234,17 +237,17 @@
         self._eras = eras
         self._fresh_at = float("-inf")
 
-    def take(self, message: StoreFeed, now: float) -> None:
+    def handle_feed(self, message: StoreFeed, now: float) -> None:
         """Take in what the leader passed on."""
         if message.hosts:
-            self._deployment.note_hosts(message.hosts)
-        if message.age > _OLDEST:
+            self._deployment.update_host_count(message.hosts)
+        if message.age > _MAX_AGE:
             self._fresh_at = float("-inf")
             return
-        if not self._continues(message):
+        if not self._is_contiguous(message):
             return
         self._eras.note(message.as_of.era)
-        patched = self._apply(message.patches)
+        patched = self._apply_patches(message.patches)
         if patched is None:
             # It has another version than the leader thinks: ask the store.
             self._fresh_at = float("-inf")
@@ -262,7 +265,7 @@
         self._deployment.record_sync(message.as_of, now - message.age)
         self._fresh_at = now
 
-    def _continues(self, message: StoreFeed) -> bool:
+    def _is_contiguous(self, message: StoreFeed) -> bool:
         """Tell whether nothing is missing between a message and before.
 
         One may have been lost, and a leader may not have heard yet that its
@@ -274,7 +277,7 @@
             return later and message.since == NO_POSITION
         return message.since <= known
 
-    def _apply(self, patches: list[Patch]) -> list[Item] | None:
+    def _apply_patches(self, patches: list[Patch]) -> list[Item] | None:
         """Return the patched items; None when one does not fit."""
         patched = []
         for patch in patches:
@@ -289,4 +292,4 @@
 
     def is_fresh(self, now: float) -> bool:
         """Tell whether the own watch can be left out."""
-        return now - self._fresh_at < FEED_LIFE
+        return now - self._fresh_at < FEED_TIMEOUT
--- a/sedgetide/daemons/_itempatches.py
+++ b/sedgetide/daemons/_itempatches.py
@@ -13,11 +13,11 @@
 from sedgetide.core.history import Position
 
 # Shorter values gain less than a patch costs.
-_SHORTEST = 1024
+_MIN_SIZE = 1024
 # What deflate looks back on; a longer base would be forgotten half.
-_LONGEST = 32 * 1024
-_VERSIONS = 4
-_LEVEL = 6
+_MAX_SIZE = 32 * 1024
+_MAX_VERSIONS = 4
+_COMPRESSION_LEVEL = 6
 
 
 def _find_base(versions: Sequence[Item], known: Position) -> Item | None:
@@ -39,20 +39,20 @@
     def note(self, item: Item) -> None:
         """Remember a version, if patches of it are worth while."""
         size = len(item.value or b"")
-        if not _SHORTEST <= size <= _LONGEST:
+        if not _MIN_SIZE <= size <= _MAX_SIZE:
             self._versions.pop(item.key, None)
             return
         versions = self._versions.setdefault(item.key, [])
         if not versions or versions[-1].position < item.position:
             versions.append(item)
-            del versions[:-_VERSIONS]
+            del versions[:-_MAX_VERSIONS]
             self._forget_patches(item.key)
 
     def _forget_patches(self, key: str) -> None:
         self._patches = {
-            place: patch
-            for place, patch in self._patches.items()
-            if place[0] != key
+            cache_key: patch
+            for cache_key, patch in self._patches.items()
+            if cache_key[0] != key
         }
 
     def find(self, item: Item, known: Position) -> Patch | None:
@@ -68,17 +68,17 @@
         base = _find_base(self._versions.get(item.key, ()), known)
         if base is None or base.position == item.position:
             return None
-        place = (item.key, base.position, item.position)
-        patch = self._patches.get(place)
+        cache_key = (item.key, base.position, item.position)
+        patch = self._patches.get(cache_key)
         if patch is None:
             patch = make_patch(base, item)
-            self._patches[place] = patch
+            self._patches[cache_key] = patch
         return patch
 
 
 def make_patch(base: Item, item: Item) -> Patch:
     """Return what turns one version of an item into another."""
-    deflate = zlib.compressobj(_LEVEL, zdict=base.value)
+    deflate = zlib.compressobj(_COMPRESSION_LEVEL, zdict=base.value)
     data = deflate.compress(item.value) + deflate.flush()
     return Patch(item.key, item.position, base.position, data)
 
--- a/sedgetide/daemons/_leader.py
+++ b/sedgetide/daemons/_leader.py
@@ -1,4 +1,4 @@
-"""The leader's task: who owns which keys, written first and ordered then."""
+"""Leader loop: plans range ownership, writes it, then orders it."""
 
 from collections.abc import Callable
 import contextlib
@@ -62,45 +62,49 @@
 from sedgetide.runtime.tasks import spawn_vital
 
 _TICK = 0.1
-# Seconds; of a host that does not lead. Whatever calls on it to lead is news,
-# which wakes it at once. Ticking ten times a second in three loops was half of
-# what an idle host takes (0.85 % of a core).
+# Seconds between ticks of a host that does not lead. A change that requires it
+# to lead wakes the loops at once. Ticking ten times a second in three loops
+# took half of an idle host's processor time (0.85 % of a core).
 _IDLE_TICK = 0.4
-_SETTLED = 0.6
-_BALANCE_EVERY = 0.8
-_RECORD_WITHIN = 2.0
-# Two reports of each host.
-_FIRST_BALANCE = 0.8
-# Slots; one that bears nothing is full with whatever it owns.
-_LEAST_CAPACITY = 0.05
+_FIRST_ASSIGNMENT_DELAY = 0.6
+_BALANCE_INTERVAL = 0.8
+_MAX_RECORD_DELAY = 2.0
+# Seconds; each host has sent two load reports by then.
+_FIRST_BALANCE_DELAY = 0.8
+# Slots; an upstream with no capacity would count as full whatever it owns.
+_MIN_CAPACITY = 0.05
 
 
 class Leader:
-    """Orders grants while this host leads; does nothing else.
+    """Plans the owners of all key ranges while this host is the leader.
 
-    Every change is written under the condition that the leader's record is
-    still the own one, and ordered only after the store has acknowledged
-    it: whoever leads next finds in the store all that may have been
-    ordered.
+    A leader's *term* lasts from the write of its record to its end. Tables
+    of owners are written in a transaction that fails unless the record in
+    the store is still that of the own term. Orders to upstreams are sent
+    only after the store has acknowledged the table, so the next leader
+    finds everything that may have been ordered in the store.
+
+    A range's owner at a fencing token is a :class:`Tenure`; a range that
+    changes its owner is a move.
 
     Parameters
     ----------
     store : LeaseStore
-        Its own client.
-    knowledge : DeploymentState
-        What is known of the deployment.
+        Client that no other task uses.
+    deployment : DeploymentState
+        State of the deployment as read from the store.
     dialect : OrderDialect
-        Form of the orders.
-    campaign : Election
-        Holds the leader's record.
+        Encodes orders for the deployment's upstreams.
+    election : Election
+        Acquires and verifies the leader's record.
     leadership : Leadership
         Whether this host leads.
     durations : Durations
-        On which single ownership rests.
+        Timeouts that guarantee a single owner for each range.
     send : callable
         Sends a message to a host.
-    own : LendingHost
-        This host, as one that lends places.
+    own_host : LendingHost
+        This host, as a candidate lender of places.
     """
 
     def __init__(
@@ -108,78 +112,85 @@
         store: LeaseStore,
         deployment: DeploymentState,
         dialect: OrderDialect,
-        campaign: Election,
+        election: Election,
         leadership: Leadership,
         durations: Durations,
         send: Callable[[LinkAddress, Message], None],
-        own: LendingHost,
+        own_host: LendingHost,
     ) -> None:
         self._store = store
         self._send = send
         self._feed = FeedPublisher(deployment, send)
-        self._stays = QuarantineWriter(store, deployment)
-        self._stopped_at = float("-inf")
+        self._quarantine_writer = QuarantineWriter(store, deployment)
+        self._completions_written_at = float("-inf")
         self._deployment = deployment
-        self._campaign = campaign
+        self._election = election
         self._leadership = leadership
         self._durations = durations
         self._position = NO_POSITION
-        self._lanes = OrderClients(dialect, durations.order_timeout)
-        self._desk = self._open_desk()
-        self._recovery = self._open_recovery()
-        self._book = LoadTracker()
-        self._limits = LimitTracker()
+        self._clients = OrderClients(dialect, durations.order_timeout)
+        self._executor = self._create_executor()
+        self._recovery = self._create_recovery()
+        self._load_tracker = LoadTracker()
+        self._limit_tracker = LimitTracker()
         self._evacuations = EvacuationCoordinator(deployment)
-        self._own = own
-        self._roster = LenderSelector(deployment.lenders, float("-inf"), own)
+        self._own_host = own_host
+        self._lender_selector = LenderSelector(
+            deployment.lenders, float("-inf"), own_host
+        )
         self._balanced_at = float("-inf")
-        self._adopted = False
+        self._tables_loaded = False
         self._resigned = False
 
     def start(self, stack: contextlib.ExitStack) -> None:
-        """Begin to stand and to lead."""
+        """Start the loops; the stack closes the store clients."""
         stack.callback(self._store.close)
-        stack.callback(self._campaign.close)
-        stack.callback(lambda: self._desk.close())
+        stack.callback(self._election.close)
+        stack.callback(lambda: self._executor.close())
         stack.callback(lambda: self._recovery.close())
-        spawn_vital(self._campaign_loop, stack)
-        spawn_vital(self._loop, stack)
-        spawn_vital(self._bridge_loop, stack)
+        spawn_vital(self._election_loop, stack)
+        spawn_vital(self._lead_loop, stack)
+        spawn_vital(self._outage_loop, stack)
 
     def resign(self) -> None:
-        """Give the lead away, for good."""
+        """Give up leadership and don't run for it again."""
         self._resigned = True
-        self._desk.close()
+        self._executor.close()
         self._recovery.close()
-        self._campaign.resign()
+        self._election.resign()
         self._feed.end()
 
     def note_report(
         self, report: LoadReport, sender: LinkAddress | None, now: float
     ) -> None:
-        """Take in the load that a host reports, and how far it is.
+        """Record a host's load report and update the sender's feed.
 
         Parameters
         ----------
+        report : LoadReport
+            Load, rate limits and leaving upstreams seen by the host, and
+            the store position up to which it is synced.
         sender : LinkAddress or None
-            Who reports; None for the own host.
+            Reporting host; None for this one.
+        now : float
+            Own clock.
         """
         if sender is not None and self._leadership.is_fresh(now):
             self._feed.note_report(sender, report.position, now)
-            self._name_lenders(sender, report.standing, now)
+            self._update_lenders(sender, report.standing, now)
         elif sender is not None:
-            self._feed.tell_era(sender, report.position, now)
+            self._feed.announce_era(sender, report.position, now)
         for upstream in report.leaving:
             self._deployment.note_leaving(upstream)
-        self._limits.note(report.limits, now)
-        self._book.note_keys(report.keys, now)
-        self._book.note_upstreams(report.upstreams, now)
+        self._limit_tracker.note(report.limits, now)
+        self._load_tracker.note_keys(report.keys, now)
+        self._load_tracker.note_upstreams(report.upstreams, now)
 
-    def _name_lenders(
+    def _update_lenders(
         self, sender: LinkAddress, standing: HostStatus, now: float
     ) -> None:
-        self._roster.note(sender, standing, now)
-        lenders = self._roster.lenders
+        self._lender_selector.note(sender, standing, now)
+        lenders = self._lender_selector.lenders
         if standing.lenders != lenders.version:
             self._send(sender, Lenders(lenders))
 
@@ -189,52 +200,56 @@
         return self._leadership.term != NO_POSITION
 
     def dump_state(self) -> dict[str, Any]:
-        """Return the state for the dump."""
+        """Return the state for the admin endpoint."""
         now = read_clock()
         return {
             "term": self._leadership.term,
             "may_order": self._leadership.may_order(now),
-            "moving": self._desk.moving,
+            "moving": self._executor.moving,
         }
 
     # Loops
 
-    def _campaign_loop(self) -> None:
+    def _election_loop(self) -> None:
         while not self._resigned:
             term = self._leadership.term
-            self._campaign.step(read_clock())
+            self._election.step(read_clock())
             if self._leadership.term != term:
-                # The loop that leads waits for news meanwhile.
+                # Wakes the lead loop, which waits for changes.
                 self._deployment.changes.notify_all()
-            busy = self.leading or self._campaign.waiting
+            busy = self.leading or self._election.is_candidate
             self._deployment.changes.wait(_TICK if busy else _IDLE_TICK)
 
-    def _loop(self) -> None:
+    def _lead_loop(self) -> None:
         while True:
-            self._lanes.note_addresses(
+            self._clients.update_entries(
                 self._deployment.directory, read_clock()
             )
             position = self._leadership.term
             if position != self._position:
                 self._begin_term(position)
             self._feed_hosts(read_clock())
-            if self._may_lead() and self._has_adopted():
+            if self._may_lead() and self._ensure_tables_loaded():
                 self._lead()
             tick = _TICK if self.leading else _IDLE_TICK
             self._deployment.changes.wait(tick)
 
     def _may_lead(self) -> bool:
-        """Tell whether owners may be changed, and not only kept."""
+        """Return whether owners may be changed.
+
+        After its era has ended, a leader only renews existing grants.
+        """
         ordering = self._leadership.may_order(read_clock())
         return ordering and not self._leadership.era_ended
 
-    def _bridge_loop(self) -> None:
-        """Act at once when the store falls silent.
+    def _outage_loop(self) -> None:
+        """React at once when the store stops answering.
 
-        Hosts that rely on this one are sent to the store, and all grants
-        are renewed: the longer holds that bridge an outage must be out
-        before the proof ends, which is less than the interval of renewals
-        away. The other loops may be waiting for the store just then.
+        Hosts that are fed by this one are told to watch the store
+        themselves, and all grants are renewed with the longer hold that
+        bridges an outage. They must be sent before the proof of leadership
+        expires, which is sooner than the next regular renewal. The other
+        loops can't do this as they may be blocked on a call to the store.
         """
         last = self._durations.hold
         while True:
@@ -246,7 +261,7 @@
             hold = self._leadership.choose_hold(now)
             if hold > last:
                 log_event(Event.BRIDGING, hold=hold)
-                self._desk.renew_all()
+                self._executor.renew_all()
             last = hold
 
     def _feed_hosts(self, now: float) -> None:
@@ -255,47 +270,52 @@
         else:
             self._feed.end()
 
-    def _open_desk(self) -> OrderExecutor:
+    def _create_executor(self) -> OrderExecutor:
         return OrderExecutor(
             Term(self._leadership, self._durations),
             self._deployment,
-            self._lanes,
+            self._clients,
             self._durations,
-            self._spread,
+            self._broadcast_move,
         )
 
-    def _open_recovery(self) -> RecoveryCoordinator:
+    def _create_recovery(self) -> RecoveryCoordinator:
         return RecoveryCoordinator(
-            self._desk.term, self._deployment, self._lanes
+            self._executor.term, self._deployment, self._clients
         )
 
     def _begin_term(self, position: Position) -> None:
-        self._desk.close()
+        self._executor.close()
         self._recovery.close()
         self._position = position
-        self._desk = self._open_desk()
-        self._recovery = self._open_recovery()
-        self._roster = LenderSelector(
-            self._deployment.lenders, read_clock(), self._own
+        self._executor = self._create_executor()
+        self._recovery = self._create_recovery()
+        self._lender_selector = LenderSelector(
+            self._deployment.lenders, read_clock(), self._own_host
         )
-        self._adopted = False
+        self._tables_loaded = False
 
-    def _has_adopted(self) -> bool:
+    def _ensure_tables_loaded(self) -> bool:
         """Read the tables once in each term, before the first order.
 
-        A leader that ordered by what it happened to know could renew the
-        grant of an owner that its predecessor has waited for and replaced.
+        A leader that acted on its cached tables could renew the grant of an
+        owner that its predecessor has already replaced.
+
+        Returns
+        -------
+        bool
+            Whether the tables of this term have been read.
         """
-        if not self._adopted:
+        if not self._tables_loaded:
             try:
-                self._adopt_tables()
-                self._adopted = True
+                self._load_tables()
+                self._tables_loaded = True
             except StoreError as error:
                 log_event(Event.TABLES_UNREAD, error=error)
-        return self._adopted
+        return self._tables_loaded
 
-    def _adopt_tables(self) -> None:
-        """Read what earlier leaders have written, to the last change."""
+    def _load_tables(self) -> None:
+        """Read the newest tables written by earlier leaders."""
         listing = self._store.list(make_ranges_prefix(self._position.era))
         self._deployment.apply_items(listing.items, read_clock())
 
@@ -305,17 +325,17 @@
         now = read_clock()
         if self._deployment.policy is None:
             return
-        self._desk.term.prune(now)
+        self._executor.term.prune(now)
         self._deployment.directory.expire(now)
-        self._stays.run_periodic(self._position, now)
+        self._quarantine_writer.run_periodic(self._position, now)
         self._evacuations.run_periodic(now)
-        balance = now - self._balanced_at >= _BALANCE_EVERY
+        balance = now - self._balanced_at >= _BALANCE_INTERVAL
         if balance:
             self._balanced_at = now
-            self._forget_gone(now)
+            self._forget_departed(now)
             self._choose_lenders(now)
         for service in self._deployment.policy.list_keyed():
-            self._lead_service(service, balance, now)
+            self._update_service(service, balance, now)
 
     def _choose_lenders(self, now: float) -> None:
         keyed = [
@@ -329,49 +349,51 @@
             for each in self._deployment.directory.list_active(service)
         ]
         self._deployment.set_lenders(
-            self._roster.choose(keyed, now, all_active)
+            self._lender_selector.choose(keyed, now, all_active)
         )
 
-    def _forget_gone(self, now: float) -> None:
-        """Forget upstreams that neither are registered nor own anything."""
+    def _forget_departed(self, now: float) -> None:
+        """Drop state of upstreams that aren't registered and own no keys."""
         if not self._has_all_tables():
-            # Whoever has left may hold keys of an earlier era, and has to be
-            # asked for them.
+            # An upstream that has left may still hold keys granted in an
+            # earlier era and has to be asked to release them.
             return
         known = {each.name for each in self._deployment.directory.list_all()}
         for each in self._deployment.tables.values():
             known.update(tenure.owner for tenure in each.table.tenures)
-        self._book.forget(known)
-        self._lanes.forget(known)
-        self._limits.prune(now)
+        self._load_tracker.forget(known)
+        self._clients.retain(known)
+        self._limit_tracker.prune(now)
 
     def _has_all_tables(self) -> bool:
-        """Tell whether the owners of all keys are known in this era."""
+        """Return whether each keyed service has a table of this era."""
         era = self._position.era
         return all(
             self._deployment.find_table_in_era(service, era) is not None
             for service in self._deployment.policy.list_keyed()
         )
 
-    def _lead_service(
+    def _update_service(
         self, service: ServiceName, balance: bool, now: float
     ) -> None:
         era = self._position.era
         table = self._deployment.find_table_in_era(service, era)
         if table is None:
-            table = self._recovery.begin_table(service)
+            table = self._recovery.recover_table(service)
             if table is None:
                 return
             if table.tenures and era != FIRST_ERA:
-                self._restart(service, table)
+                self._write_restarted_table(service, table)
                 return
-        changed = self._change(service, table, balance, now)
+        changed = self._compute_next_table(service, table, balance, now)
         if changed is not table and self._write(service, changed):
             table = changed
-        self._desk.follow(service, table)
+        self._executor.reconcile(service, table)
 
-    def _restart(self, service: ServiceName, table: RangeTable) -> None:
-        """Write the first owners of an era of the store."""
+    def _write_restarted_table(
+        self, service: ServiceName, table: RangeTable
+    ) -> None:
+        """Write the first table of an era, after the recovery."""
         owners = {
             each.name
             for each in self._deployment.directory.list_active(service)
@@ -379,38 +401,41 @@
         if owners:
             self._write(service, table.restart(table.fence, owners))
 
-    def _change(
+    def _compute_next_table(
         self,
         service: ServiceName,
         table: RangeTable,
         balance: bool,
         now: float,
     ) -> RangeTable:
-        """Return the next table, or the same one when it is right."""
+        """Return the next table, or the same object if nothing changes."""
         directory = self._deployment.directory
-        # An entry that comes back late shows an upstream that has ended, at
-        # the address of another: ranges given to it stay dark until the
-        # entry lapses, 2.6 s at a heartbeat of 0.87 s.
+        # A late registry entry can show an upstream that has ended, at an
+        # address that another one has now. Ranges assigned to it would be
+        # unavailable until the entry expires: 2.6 s at a heartbeat of 0.87 s.
         active = [
             each
             for each in directory.list_active(service)
             if not directory.is_foreign(each.name, now)
         ]
         if not table.tenures:
-            settled = now - directory.changed_at >= _SETTLED
+            settled = now - directory.changed_at >= _FIRST_ASSIGNMENT_DELAY
             if not active or not settled:
                 return table
             active.sort(key=lambda each: each.name)
             return table.assign_first(
                 [(each.name, each.slots) for each in active]
             )
-        ended = self._desk.list_ended(service)
-        joined = table.complete(ended).merge()
-        moves = self._plan(service, joined, active, balance, now)
-        late = ended and now - self._stopped_at > _RECORD_WITHIN
-        if moves or late:
+        completed = self._executor.list_completed(service)
+        joined = table.complete(completed).merge()
+        moves = self._plan_moves(service, joined, active, balance, now)
+        overdue = (
+            completed
+            and now - self._completions_written_at > _MAX_RECORD_DELAY
+        )
+        if moves or overdue:
             table = joined
-            self._stopped_at = now
+            self._completions_written_at = now
         if moves:
             log_event(
                 Event.MOVES,
@@ -423,7 +448,7 @@
             table = table.begin(moves)
         return table
 
-    def _plan(
+    def _plan_moves(
         self,
         service: ServiceName,
         table: RangeTable,
@@ -435,7 +460,7 @@
             each.name: EligibleUpstream(
                 each.name,
                 self._find_capacity(each, now),
-                self._book.find_slowness(each.name, now),
+                self._load_tracker.find_slowness(each.name, now),
             )
             for each in active
         }
@@ -447,14 +472,15 @@
         )
         rates: dict[Key, float] = {}
         if balance or lost or leaving:
-            # Ten thousand keys are known after a few seconds, and this runs
-            # ten times a second.
-            views = self._book.list_views(service, now)
-            rates = smooth_rates(views, table.tenures)
+            # Computed only when needed: there are ten thousand keys after a
+            # few seconds, and this runs ten times a second.
+            estimates = self._load_tracker.list_views(service, now)
+            rates = smooth_rates(estimates, table.tenures)
         moves = plan_evictions(table, eligible, rates, evacuated)
         moves += plan_evacuation(table, eligible, rates, evacuated, leaving)
-        for tenure in self._desk.take_fenced(service):
-            # Its fence was passed by; the same owner goes on at a new one.
+        for tenure in self._executor.pop_fenced(service):
+            # The upstream has seen a higher fence, or may have restarted.
+            # The same owner gets the range again at a new fence.
             if tenure in table.tenures and tenure.owner in eligible:
                 moves.append(Move(tenure.keys, tenure.owner))
                 log_event(
@@ -465,33 +491,39 @@
                     high=tenure.high,
                     fence=tenure.fence,
                 )
-        began = self._book.began_at
-        ready = began is not None and now - began >= _FIRST_BALANCE
+        began = self._load_tracker.began_at
+        ready = began is not None and now - began >= _FIRST_BALANCE_DELAY
         if not moves and balance and ready:
             empty = count_empty(table, eligible)
-            room = max_concurrent_moves(len(eligible), empty) - len(
+            max_moves = max_concurrent_moves(len(eligible), empty) - len(
                 table.list_moving()
             )
-            moves = plan_balance(table, eligible, rates, max(0, room))
+            moves = plan_balance(table, eligible, rates, max(0, max_moves))
             if not moves:
                 moves = plan_consolidation(
-                    table, eligible, rates, max(0, room)
+                    table, eligible, rates, max(0, max_moves)
                 )
         return moves
 
     def _find_capacity(
         self, upstream: RegisteredUpstream, now: float
     ) -> float:
-        """Return the slots' worth of work that an upstream bears now."""
+        """Return an upstream's current capacity in slots.
+
+        A cold or rate-limited upstream has the capacity that its request
+        rate takes up.
+        """
         rates = (
             self._deployment.find_cold_rate(upstream, now),
-            self._limits.find(upstream.name, now),
+            self._limit_tracker.find(upstream.name, now),
         )
         rate = min((each for each in rates if each is not None), default=None)
         if rate is None:
             return upstream.slots
-        work = self._book.find_mean_work(upstream.service) or FIRST_GUESS
-        return min(upstream.slots, max(_LEAST_CAPACITY, rate * work))
+        work = (
+            self._load_tracker.find_mean_work(upstream.service) or FIRST_GUESS
+        )
+        return min(upstream.slots, max(_MIN_CAPACITY, rate * work))
 
     def _write(self, service: ServiceName, table: RangeTable) -> bool:
         era = self._position.era
@@ -510,11 +542,11 @@
             log_event(
                 Event.TABLE_UNWRITTEN, service=service, error="overtaken"
             )
-            self._reread()
+            self._reload_tables()
             return False
         except StoreError as error:
             log_event(Event.TABLE_UNWRITTEN, service=service, error=error)
-            self._reread()
+            self._reload_tables()
             return False
         self._deployment.update_table(service, table, written, read_clock())
         log_event(
@@ -527,18 +559,19 @@
         )
         RANGES.labels(service).set(len(table.tenures))
         RANGES_MOVING.labels(service).set(len(table.list_moving()))
-        self._desk.note_written(service, table)
+        self._executor.note_written(service, table)
         return True
 
-    def _reread(self) -> None:
+    def _reload_tables(self) -> None:
         with contextlib.suppress(StoreError):
-            self._adopt_tables()
+            self._load_tables()
 
-    def _spread(self, service: ServiceName, tenure: Tenure) -> None:
-        """Tell the hosts that a range has its new owner.
+    def _broadcast_move(self, service: ServiceName, tenure: Tenure) -> None:
+        """Tell all hosts that a range has its new owner.
 
-        Writing it down at once would wake every host's watch; who misses
-        the message learns it from the next version of the record.
+        Writing the table for each completed move would wake every host's
+        watch. A host that misses the message learns of the move from the
+        next version of the table.
         """
         self._deployment.complete_moves(service, [tenure])
         for link in self._feed.list_links(read_clock()):
--- a/sedgetide/daemons/_loadreporter.py
+++ b/sedgetide/daemons/_loadreporter.py
@@ -18,12 +18,12 @@
 from sedgetide.runtime.tasks import spawn_vital
 
 _INTERVAL = 0.4
-_MOST_KEYS = 400
-_FIRST_GUESS = 0.2
-_GAIN = 0.05
+_MAX_KEYS = 400
+_INITIAL_SERVICE_TIME = 0.2
+_SMOOTHING_FACTOR = 0.05
 
 
-class _Seen:
+class _UpstreamCounters:
     def __init__(self) -> None:
         self.answers = 0
         self.slowness = 0.0
@@ -40,16 +40,16 @@
 
     def __init__(self) -> None:
         self._keys: dict[tuple[ServiceName, Key], float] = {}
-        self._upstreams: dict[IncarnationName, _Seen] = {}
-        self._usual: dict[RouteName, float] = {}
+        self._upstreams: dict[IncarnationName, _UpstreamCounters] = {}
+        self._service_times: dict[RouteName, float] = {}
 
     def note_request(
         self, route: RouteName, service: ServiceName, key: Key
     ) -> None:
         """Count a request about a key."""
-        work = self._usual.get(route, _FIRST_GUESS)
-        place = (service, key)
-        self._keys[place] = self._keys.get(place, 0.0) + work
+        work = self._service_times.get(route, _INITIAL_SERVICE_TIME)
+        work_key = (service, key)
+        self._keys[work_key] = self._keys.get(work_key, 0.0) + work
 
     def note_answer(
         self,
@@ -59,25 +59,27 @@
         load: UpstreamLoad | None,
     ) -> None:
         """Take in the time of an answer."""
-        usual = self._usual.get(route, _FIRST_GUESS)
-        seen = self._upstreams.setdefault(upstream, _Seen())
-        seen.answers += 1
+        service_time = self._service_times.get(route, _INITIAL_SERVICE_TIME)
+        counters = self._upstreams.setdefault(upstream, _UpstreamCounters())
+        counters.answers += 1
         if load is not None and load.waiting > 0:
             # A slow upstream is the first to be full, and stays so: left
             # out, its answers never show that it is slow, and it is given
             # as many keys as the others.
             in_queue = load.waiting / max(1, load.slots)
-            seen.slowness += seconds / (1.0 + in_queue) / usual
+            counters.slowness += seconds / (1.0 + in_queue) / service_time
             return
-        seen.slowness += seconds / usual
-        bounded = min(seconds, 4 * usual)
-        self._usual[route] = usual + _GAIN * (bounded - usual)
+        counters.slowness += seconds / service_time
+        bounded = min(seconds, 4 * service_time)
+        self._service_times[route] = service_time + _SMOOTHING_FACTOR * (
+            bounded - service_time
+        )
 
     def note_failure(self, upstream: IncarnationName) -> None:
         """Count a request without a usable answer."""
-        self._upstreams.setdefault(upstream, _Seen()).failures += 1
+        self._upstreams.setdefault(upstream, _UpstreamCounters()).failures += 1
 
-    def take_report(self, position: Position) -> LoadReport:
+    def collect_report(self, position: Position) -> LoadReport:
         """Return what was counted, and begin anew.
 
         Parameters
@@ -92,16 +94,19 @@
         keys.sort(key=lambda each: -each.seconds)
         upstreams = [
             UpstreamWork(
-                name, seen.answers, round(seen.slowness, 3), seen.failures
+                name,
+                counters.answers,
+                round(counters.slowness, 3),
+                counters.failures,
             )
-            for name, seen in self._upstreams.items()
+            for name, counters in self._upstreams.items()
         ]
         self._keys.clear()
         self._upstreams.clear()
-        return LoadReport(keys[:_MOST_KEYS], upstreams, position)
+        return LoadReport(keys[:_MAX_KEYS], upstreams, position)
 
 
-class ReportReceiver(Protocol):
+class ReportTransport(Protocol):
     """Who gets the reports."""
 
     def find_leader_link(self) -> LinkAddress | None:
@@ -121,13 +126,13 @@
     ----------
     meter : LoadMeter
         What counts.
-    receiver : ReportReceiver
+    receiver : ReportTransport
         Who gets it.
     """
 
-    def __init__(self, meter: LoadMeter, receiver: ReportReceiver) -> None:
+    def __init__(self, meter: LoadMeter, transport: ReportTransport) -> None:
         self._meter = meter
-        self._receiver = receiver
+        self._transport = transport
 
     def start(self, stack: contextlib.ExitStack) -> None:
         """Begin to send."""
@@ -136,9 +141,9 @@
     def _loop(self) -> None:
         while True:
             gevent.sleep(_INTERVAL)
-            link = self._receiver.find_leader_link()
+            link = self._transport.find_leader_link()
             if link is None:
                 continue
-            position = self._receiver.find_position()
-            report = self._meter.take_report(position)
-            self._receiver.send_report(link, report)
+            position = self._transport.find_position()
+            report = self._meter.collect_report(position)
+            self._transport.send_report(link, report)
--- a/sedgetide/daemons/_orderclient.py
+++ b/sedgetide/daemons/_orderclient.py
@@ -25,9 +25,9 @@
 _ANSWER_BYTES = 64 * 1024
 _CONNECT_TIMEOUT = 0.5
 _RELEASE_TIMEOUT = 3.0
-_SETTLING = 0.003
+_RESET_WAIT = 0.003
 # Seconds; a process takes longer to start.
-_REPLACE_WITHIN = 0.1
+_MIN_RESTART_TIME = 0.1
 _OK = 200
 
 
@@ -109,7 +109,7 @@
         address: str,
         dialect: OrderDialect,
         grant_timeout: float,
-        settling: float = _SETTLING,
+        reset_wait: float = _RESET_WAIT,
     ) -> None:
         self.upstream = upstream
         self.address = address
@@ -119,14 +119,14 @@
         # it, resets a new connection. Seen before the send, the order has not
         # left; after it, the upstream may hold the keys for a whole life
         # more, and they stay dark for as long once it is known to be lost.
-        self._pool = ConnectionPool(address, _ANSWER_BYTES, settling)
+        self._pool = ConnectionPool(address, _ANSWER_BYTES, reset_wait)
         self._in_use: set[Connection] = set()
         self._opened: weakref.WeakKeyDictionary[Connection, int] = (
             weakref.WeakKeyDictionary()
         )
         self.session = 0
 
-    def reach(self) -> bool:
+    def connect(self) -> bool:
         """Connect, unless a connection is kept; return whether one is open."""
         try:
             connection = self._take()
@@ -151,7 +151,7 @@
             None when it may not be sent any more.
         """
 
-        def make() -> OrderRequest | None:
+        def make_order() -> OrderRequest | None:
             life = prepare()
             if life is None:
                 return None
@@ -159,7 +159,7 @@
                 self.upstream, keys, fence, life, handover
             )
 
-        result = self._give(make)
+        result = self._send(make_order)
         self._log("grant", keys, fence, result)
         return result
 
@@ -167,22 +167,22 @@
         self,
         keys: KeyRange,
         fence: Fence,
-        may_leave: Callable[[], bool],
+        may_send: Callable[[], bool],
     ) -> OrderResult:
         """Take keys back; answered when the work on them has ended.
 
         Parameters
         ----------
-        may_leave : callable
+        may_send : callable
             Called when the order can leave at once; returns whether it may.
         """
 
-        def make() -> OrderRequest | None:
-            if not may_leave():
+        def make_order() -> OrderRequest | None:
+            if not may_send():
                 return None
             return self._dialect.make_release(self.upstream, keys, fence)
 
-        result = self._give(make, _RELEASE_TIMEOUT)
+        result = self._send(make_order, _RELEASE_TIMEOUT)
         self._log("release", keys, fence, result)
         return result
 
@@ -203,9 +203,9 @@
             detail=result.detail,
         )
 
-    def _give(
+    def _send(
         self,
-        make: Callable[[], OrderRequest | None],
+        make_order: Callable[[], OrderRequest | None],
         timeout: float | None = None,
     ) -> OrderResult:
         try:
@@ -214,7 +214,7 @@
             return OrderResult(OrderOutcome.UNSENT, detail=error.detail)
         self._in_use.add(connection)
         try:
-            return self._give_on(connection, make, timeout)
+            return self._send_on(connection, make_order, timeout)
         finally:
             self._in_use.discard(connection)
 
@@ -226,20 +226,20 @@
         except UpstreamError as error:
             # One that was accepted and reset came to a full upstream.
             if kept or error.code is not ErrorCode.UPSTREAM_FULL:
-                self._note_end()
+                self._note_closed()
             raise
         if connection not in self._opened:
             if kept:
-                self._note_end()
+                self._note_closed()
             # Another order may be on a connection that has ended meanwhile,
             # and not know it yet.
             for other in self._in_use:
                 if other.ended:
-                    self._note_end(other)
+                    self._note_closed(other)
             self._opened[connection] = self.session
         return connection
 
-    def _note_end(self, ended: Connection | None = None) -> None:
+    def _note_closed(self, ended: Connection | None = None) -> None:
         """Take in that the upstream ended a connection, or took none.
 
         While another is open it is the same process as before.
@@ -257,7 +257,7 @@
         if not alive and not self._pool.has_idle:
             self.session += 1
 
-    def _replace(self, ended: Connection, sent_at: float) -> None:
+    def _reconnect(self, ended: Connection, sent_at: float) -> None:
         """Open a connection in place of one whose end was announced.
 
         What listens when the next order is due may be another start. Within
@@ -275,22 +275,22 @@
         if self._pool.has_idle:
             return
         try:
-            connection = self._pool.take(_REPLACE_WITHIN)
+            connection = self._pool.take(_MIN_RESTART_TIME)
         except UpstreamError:
-            self._note_end(ended)
+            self._note_closed(ended)
             return
-        if read_clock() - sent_at > _REPLACE_WITHIN:
-            self._note_end(ended)
+        if read_clock() - sent_at > _MIN_RESTART_TIME:
+            self._note_closed(ended)
         self._opened[connection] = self.session
         self._pool.give_back(connection)
 
-    def _give_on(
+    def _send_on(
         self,
         connection: Connection,
-        make: Callable[[], OrderRequest | None],
+        make_order: Callable[[], OrderRequest | None],
         timeout: float | None,
     ) -> OrderResult:
-        order = make()
+        order = make_order()
         if order is None:
             self._pool.give_back(connection)
             return OrderResult(OrderOutcome.UNSENT)
@@ -307,14 +307,14 @@
             )
         except UpstreamError as error:
             if error.code is not ErrorCode.UPSTREAM_SILENT:
-                self._note_end(connection)
+                self._note_closed(connection)
             return OrderResult(OrderOutcome.UNKNOWN, detail=error.detail)
         self._pool.give_back(connection)
         if not connection.is_open:
-            self._replace(connection, sent_at)
-        return self._judge(answer)
+            self._reconnect(connection, sent_at)
+        return self._read_result(answer)
 
-    def _judge(self, answer: Answer) -> OrderResult:
+    def _read_result(self, answer: Answer) -> OrderResult:
         if answer.status == _OK:
             handover = self._dialect.read_handover(answer.headers)
             return OrderResult(OrderOutcome.DONE, handover)
--- a/sedgetide/daemons/_orderexecutor.py
+++ b/sedgetide/daemons/_orderexecutor.py
@@ -21,18 +21,18 @@
 from sedgetide.daemons._orderclient import OrderClient
 from sedgetide.daemons._orderclient import OrderOutcome
 from sedgetide.daemons._orderclient import OrderResult
-from sedgetide.daemons._renewal import renew_round
+from sedgetide.daemons._renewal import renew_grants
 from sedgetide.runtime.clock import read_clock
 from sedgetide.runtime.events import Event
 from sedgetide.runtime.events import log_event
 from sedgetide.runtime.signals import ChangeSignal
 
-_RETRY_PAUSE = 0.2
+_RETRY_DELAY = 0.2
 # A timer of no time at all would end the release before it is sent.
-_LEAST_WAIT = 0.01
-_GRANT_TRIES = 3
+_MIN_RELEASE_TIMEOUT = 0.01
+_GRANT_ATTEMPTS = 3
 # Grants of two tables with 24 ranges an upstream, at 300 upstreams.
-_MOST_SESSIONS = 16_000
+_MAX_SESSIONS = 16_000
 
 
 class OrderClients:
@@ -49,11 +49,11 @@
     def __init__(self, dialect: OrderDialect, grant_timeout: float) -> None:
         self._dialect = dialect
         self._grant_timeout = grant_timeout
-        self._lanes: dict[IncarnationName, OrderClient] = {}
+        self._clients: dict[IncarnationName, OrderClient] = {}
         self._entries: dict[IncarnationName, RegisteredUpstream] = {}
         self._seen_at: dict[IncarnationName, float] = {}
 
-    def note_addresses(self, directory: UpstreamDirectory, now: float) -> None:
+    def update_entries(self, directory: UpstreamDirectory, now: float) -> None:
         """Remember where upstreams are, also once they have left."""
         for entry in directory.list_all():
             self._entries[entry.name] = entry
@@ -76,17 +76,17 @@
 
     def find(self, upstream: IncarnationName) -> OrderClient | None:
         """Return the way to an upstream, if its address is known."""
-        lane = self._lanes.get(upstream)
+        client = self._clients.get(upstream)
         entry = self._entries.get(upstream)
-        if lane is None and entry is not None:
-            lane = OrderClient(
+        if client is None and entry is not None:
+            client = OrderClient(
                 entry.registered_name,
                 entry.address,
                 self._dialect,
                 self._grant_timeout,
             )
-            self._lanes[upstream] = lane
-        return lane
+            self._clients[upstream] = client
+        return client
 
     def forget(self, known: Collection[IncarnationName]) -> None:
         """Forget upstreams that are not among the known ones."""
@@ -94,9 +94,9 @@
             if name not in known:
                 del self._entries[name]
                 del self._seen_at[name]
-        for name in list(self._lanes):
+        for name in list(self._clients):
             if name not in known:
-                self._lanes.pop(name).close()
+                self._clients.pop(name).close()
 
 
 class OrderExecutor:
@@ -120,18 +120,18 @@
         self,
         term: Term,
         deployment: DeploymentState,
-        lanes: OrderClients,
+        clients: OrderClients,
         durations: Durations,
         on_moved: Callable[[ServiceName, Tenure], None],
     ) -> None:
         self.term = term
         self._deployment = deployment
-        self._lanes = lanes
+        self._clients = clients
         self._durations = durations
         self._on_moved = on_moved
         self._renewals: dict[IncarnationName, gevent.Greenlet] = {}
         self._moves: dict[tuple[ServiceName, Tenure], gevent.Greenlet] = {}
-        self._stopped: dict[ServiceName, set[Tenure]] = {}
+        self._completed: dict[ServiceName, set[Tenure]] = {}
         self._fenced: dict[ServiceName, set[Tenure]] = {}
         self._sessions: dict[tuple[IncarnationName, Fence], int] = {}
         self._renew_now = ChangeSignal()
@@ -152,18 +152,18 @@
         """Renew all grants now."""
         self._renew_now.notify_all()
 
-    def list_ended(self, service: ServiceName) -> set[Tenure]:
+    def list_completed(self, service: ServiceName) -> set[Tenure]:
         """Return moves that have ended and may not be written down yet."""
-        return self._stopped.get(service, set())
+        return self._completed.get(service, set())
 
     def note_written(self, service: ServiceName, table: RangeTable) -> None:
         """Forget ended moves that the record shows as ended."""
-        ended = self.list_ended(service)
-        self._stopped[service] = ended.intersection(table.tenures)
-        if len(self._sessions) > _MOST_SESSIONS:
-            self._forget_sessions()
+        ended = self.list_completed(service)
+        self._completed[service] = ended.intersection(table.tenures)
+        if len(self._sessions) > _MAX_SESSIONS:
+            self._prune_sessions()
 
-    def _forget_sessions(self) -> None:
+    def _prune_sessions(self) -> None:
         """Forget grants of ranges that have moved on."""
         current = set()
         for known in self._deployment.tables.values():
@@ -173,24 +173,26 @@
         for grant in self._sessions.keys() - current:
             del self._sessions[grant]
 
-    def take_fenced(self, service: ServiceName) -> set[Tenure]:
+    def pop_fenced(self, service: ServiceName) -> set[Tenure]:
         """Return ranges whose fence was passed by, and forget them."""
         return self._fenced.pop(service, set())
 
-    def follow(self, service: ServiceName, table: RangeTable) -> None:
+    def reconcile(self, service: ServiceName, table: RangeTable) -> None:
         """Begin what a table asks for, and end what it no longer does."""
         moving = set(table.list_moving())
         for tenure in moving:
-            place = (service, tenure)
-            stopped = tenure in self.list_ended(service)
-            if place not in self._moves and not stopped:
-                self._moves[place] = gevent.spawn(self._move, service, tenure)
-        for place, task in list(self._moves.items()):
+            move_key = (service, tenure)
+            stopped = tenure in self.list_completed(service)
+            if move_key not in self._moves and not stopped:
+                self._moves[move_key] = gevent.spawn(
+                    self._move, service, tenure
+                )
+        for move_key, task in list(self._moves.items()):
             if task.ready() or (
-                place[0] == service and place[1] not in moving
+                move_key[0] == service and move_key[1] not in moving
             ):
                 task.kill(block=False)
-                del self._moves[place]
+                del self._moves[move_key]
         for owner in {each.owner for each in table.tenures}:
             task = self._renewals.get(owner)
             if task is None or task.ready():
@@ -203,17 +205,17 @@
         handover = self._stop_owner(service, tenure)
         if handover is None:
             return
-        for _ in range(_GRANT_TRIES):
+        for _ in range(_GRANT_ATTEMPTS):
             now = read_clock()
             if not self.term.may_order(now):
                 return
             taken = self._grant(service, tenure.successor, tenure, handover)
             if taken is OrderOutcome.DONE:
                 break
-            gevent.sleep(_RETRY_PAUSE)
+            gevent.sleep(_RETRY_DELAY)
         # Without its answer the successor owns it all the same: its
         # renewals go on, and if it is gone the range moves on.
-        self._stopped.setdefault(service, set()).add(tenure)
+        self._completed.setdefault(service, set()).add(tenure)
         MOVES.labels(service).inc()
         self._on_moved(service, tenure)
 
@@ -230,42 +232,42 @@
             now = read_clock()
             if not self.term.may_order(now):
                 return None
-            if self._has_ended(service, tenure, now):
-                self._tell_stopped(service, tenure, "ended", now - began)
+            if self._is_hold_over(service, tenure, now):
+                self._log_owner_stopped(service, tenure, "ended", now - began)
                 return ""
-            end = self._find_end(service, tenure)
+            end = self._find_hold_end(service, tenure)
             # A release that is not answered must not outlast the hold: the
             # keys would stay dark for the rest of its 0.7 s for nothing.
-            with gevent.Timeout(max(_LEAST_WAIT, end - now), False):
+            with gevent.Timeout(max(_MIN_RELEASE_TIMEOUT, end - now), False):
                 result = self._release(service, tenure)
                 if result is not None:
                     proof = result.taken.value
-                    self._tell_stopped(
+                    self._log_owner_stopped(
                         service, tenure, proof, read_clock() - began
                     )
                     return result.handover
-                gevent.sleep(_RETRY_PAUSE)
+                gevent.sleep(_RETRY_DELAY)
 
     def _release(
         self, service: ServiceName, tenure: Tenure
     ) -> OrderResult | None:
         """Take a range back; None when nothing proves that it stopped."""
-        lane = self._lanes.find(tenure.owner)
-        if lane is None:
+        client = self._clients.find(tenure.owner)
+        if client is None:
             return None
 
-        def may_leave() -> bool:
+        def may_send() -> bool:
             if not self.term.may_order(read_clock()):
                 return False
             return self._is_current(service, tenure)
 
-        result = lane.release(tenure.keys, tenure.fence, may_leave)
+        result = client.release(tenure.keys, tenure.fence, may_send)
         if result.taken not in (OrderOutcome.DONE, OrderOutcome.FOREIGN):
             return None
         self.term.note_release(tenure.owner, tenure.keys)
         return result
 
-    def _tell_stopped(
+    def _log_owner_stopped(
         self,
         service: ServiceName,
         tenure: Tenure,
@@ -283,17 +285,17 @@
             seconds=f"{seconds:.2f}",
         )
 
-    def _has_ended(
+    def _is_hold_over(
         self, service: ServiceName, tenure: Tenure, now: float
     ) -> bool:
         """Tell whether the owner can not hold the range any longer."""
-        address = self._lanes.find_address(tenure.owner)
+        address = self._clients.find_address(tenure.owner)
         if self._deployment.directory.is_address_reused(tenure.owner, address):
             return True
         since = self._deployment.find_known_since(service, tenure)
         return self.term.has_ended(tenure.owner, tenure.keys, since, now)
 
-    def _find_end(self, service: ServiceName, tenure: Tenure) -> float:
+    def _find_hold_end(self, service: ServiceName, tenure: Tenure) -> float:
         """Return when the owner's hold of a range has certainly run out."""
         since = self._deployment.find_known_since(service, tenure)
         return self.term.find_hold_end(tenure.owner, tenure.keys, since)
@@ -305,8 +307,8 @@
         tenure: Tenure,
         handover: str,
     ) -> OrderOutcome:
-        lane = self._lanes.find(upstream)
-        if lane is None:
+        client = self._clients.find(upstream)
+        if client is None:
             return OrderOutcome.UNSENT
         grants: list[Grant] = []
         granted = (upstream, tenure.fence)
@@ -320,8 +322,8 @@
                 return None
             # A restarted upstream has seen no fence and would take the keys
             # under one at which its former start had them.
-            known = self._sessions.setdefault(granted, lane.session)
-            restarted = known != lane.session
+            known = self._sessions.setdefault(granted, client.session)
+            restarted = known != client.session
             if restarted:
                 return None
             grant = self.term.prepare_grant(
@@ -333,7 +335,7 @@
             return grant.life
 
         try:
-            result = lane.grant(tenure.keys, tenure.fence, handover, prepare)
+            result = client.grant(tenure.keys, tenure.fence, handover, prepare)
             if result.taken is OrderOutcome.FOREIGN:
                 self._deployment.directory.note_foreign(upstream, read_clock())
             return OrderOutcome.RESTARTED if restarted else result.taken
@@ -349,7 +351,7 @@
             owned = [] if table is None else table.list_owned(owner)
             if not owned:
                 return
-            results = renew_round(
+            results = renew_grants(
                 owned, lambda tenure: self._renew_one(service, tenure)
             )
             for tenure, taken in results.items():
--- a/sedgetide/daemons/_recoverycoordinator.py
+++ b/sedgetide/daemons/_recoverycoordinator.py
@@ -20,7 +20,7 @@
 from sedgetide.wire.probes import Presence
 from sedgetide.wire.probes import probe
 
-_RETRY_PAUSE = 0.2
+_RETRY_DELAY = 0.2
 _PROBE_TIMEOUT = 0.2
 
 
@@ -30,7 +30,7 @@
     def __init__(self, recovery: Recovery, fence: Fence) -> None:
         self.recovery = recovery
         self.fence = fence
-        self.reached: set[IncarnationName] = set()
+        self.reachable: set[IncarnationName] = set()
         self.tasks: dict[IncarnationName, gevent.Greenlet] = {}
 
 
@@ -48,24 +48,24 @@
     """
 
     def __init__(
-        self, term: Term, deployment: DeploymentState, lanes: OrderClients
+        self, term: Term, deployment: DeploymentState, clients: OrderClients
     ) -> None:
         self._term = term
         self._deployment = deployment
-        self._lanes = lanes
-        self._services: dict[ServiceName, _ServiceRecovery] = {}
-        self._done: set[ServiceName] = set()
+        self._clients = clients
+        self._recoveries: dict[ServiceName, _ServiceRecovery] = {}
+        self._recovered: set[ServiceName] = set()
 
     def close(self) -> None:
         """Ask nobody any more."""
-        for service in list(self._services):
-            self._finish(service)
+        for service in list(self._recoveries):
+            self._stop_tasks(service)
 
-    def _finish(self, service: ServiceName) -> None:
-        for task in self._services.pop(service).tasks.values():
+    def _stop_tasks(self, service: ServiceName) -> None:
+        for task in self._recoveries.pop(service).tasks.values():
             task.kill(block=False)
 
-    def begin_table(self, service: ServiceName) -> RangeTable | None:
+    def recover_table(self, service: ServiceName) -> RangeTable | None:
         """Return the table from which the era goes on, without its owners.
 
         Returns
@@ -77,24 +77,24 @@
         if self._term.era == FIRST_ERA:
             return known
         fence = max(known.fence, find_first_fence(self._term.era))
-        if service not in self._done:
-            if not self._is_over(service, Fence(fence + 1), known):
+        if service not in self._recovered:
+            if not self._advance_recovery(service, Fence(fence + 1), known):
                 return None
-            self._done.add(service)
+            self._recovered.add(service)
         return RangeTable(fence, known.tenures)
 
-    def _is_over(
+    def _advance_recovery(
         self, service: ServiceName, fence: Fence, known: RangeTable
     ) -> bool:
         now = read_clock()
-        state = self._services.get(service)
+        state = self._recoveries.get(service)
         if state is None:
             grants_expire_at = self._term.inherited_until
             settled_at = self._deployment.find_reregistration_end()
             state = _ServiceRecovery(
                 Recovery(settled_at, grants_expire_at), fence
             )
-            self._services[service] = state
+            self._recoveries[service] = state
             log_event(
                 Event.RECOVERING,
                 service=service,
@@ -103,16 +103,16 @@
             )
         upstreams = self._list_upstreams(service, known, now)
         if state.recovery.is_over(upstreams, now):
-            self._note_over(service, state)
+            self._complete_recovery(service, state)
             return True
-        self._ask(
+        self._request_releases(
             service,
             state,
             state.recovery.list_pending_releases(upstreams, now),
         )
         return False
 
-    def _note_over(
+    def _complete_recovery(
         self, service: ServiceName, state: _ServiceRecovery
     ) -> None:
         released = state.recovery.list_released()
@@ -124,7 +124,7 @@
             era=self._term.era,
             released=len(released),
         )
-        self._finish(service)
+        self._stop_tasks(service)
 
     def _list_upstreams(
         self, service: ServiceName, known: RangeTable, now: float
@@ -135,7 +135,7 @@
         unless another has their address: then their process has ended.
         """
         since = now - self._term.longest_hold
-        upstreams = set(self._lanes.list_seen(service, since))
+        upstreams = set(self._clients.list_seen(service, since))
         for tenure in known.tenures:
             upstreams.add(tenure.successor or tenure.owner)
             upstreams.add(tenure.owner)
@@ -144,11 +144,11 @@
             each
             for each in upstreams
             if not directory.is_address_reused(
-                each, self._lanes.find_address(each)
+                each, self._clients.find_address(each)
             )
         }
 
-    def _ask(
+    def _request_releases(
         self,
         service: ServiceName,
         state: _ServiceRecovery,
@@ -160,8 +160,8 @@
         serving under what they were granted before. So they do while the
         store is silent: the table could not be written.
         """
-        reached = state.reached.issuperset(upstreams)
-        ready = reached and self._term.is_fresh(read_clock())
+        reachable = state.reachable.issuperset(upstreams)
+        ready = reachable and self._term.is_fresh(read_clock())
         for upstream in upstreams:
             task = state.tasks.get(upstream)
             if task is not None and not task.ready():
@@ -170,32 +170,32 @@
                 state.tasks[upstream] = gevent.spawn(
                     self._release, state, upstream
                 )
-            elif upstream not in state.reached:
+            elif upstream not in state.reachable:
                 state.tasks[upstream] = gevent.spawn(
-                    self._reach, state, upstream
+                    self._connect, state, upstream
                 )
 
-    def _reach(self, state: _ServiceRecovery, name: IncarnationName) -> None:
-        lane = self._lanes.find(name)
-        if lane is not None and lane.reach():
-            state.reached.add(name)
+    def _connect(self, state: _ServiceRecovery, name: IncarnationName) -> None:
+        client = self._clients.find(name)
+        if client is not None and client.connect():
+            state.reachable.add(name)
             self._deployment.changes.notify_all()
             return
-        address = self._lanes.find_address(name)
+        address = self._clients.find_address(name)
         if address and probe(address, _PROBE_TIMEOUT) is Presence.ENDED:
             # Nobody listens there: its process has ended, and its grants
             # with it.
             state.recovery.note_released(name)
             self._deployment.changes.notify_all()
             return
-        gevent.sleep(_RETRY_PAUSE)
+        gevent.sleep(_RETRY_DELAY)
 
     def _release(self, state: _ServiceRecovery, name: IncarnationName) -> None:
-        lane = self._lanes.find(name)
-        if lane is None:
-            state.reached.discard(name)
+        client = self._clients.find(name)
+        if client is None:
+            state.reachable.discard(name)
             return
-        result = lane.release(
+        result = client.release(
             ALL_KEYS,
             state.fence,
             lambda: self._term.may_order(read_clock()),
@@ -204,4 +204,4 @@
             state.recovery.note_released(name)
             self._deployment.changes.notify_all()
             return
-        gevent.sleep(_RETRY_PAUSE)
+        gevent.sleep(_RETRY_DELAY)
--- a/sedgetide/daemons/_renewal.py
+++ b/sedgetide/daemons/_renewal.py
@@ -12,7 +12,7 @@
 _RETRIED = frozenset({OrderOutcome.UNKNOWN})
 
 
-def renew_round(
+def renew_grants(
     tenures: Sequence[Tenure], grant: Callable[[Tenure], OrderOutcome]
 ) -> dict[Tenure, OrderOutcome]:
     """Grant all ranges once more, and those without an answer twice.
--- a/sedgetide/daemons/_storetask.py
+++ b/sedgetide/daemons/_storetask.py
@@ -19,7 +19,7 @@
 from sedgetide.runtime.tasks import spawn_vital
 
 _WATCH_WAIT = 5.0
-_PAUSE_AFTER_ERROR = 0.2
+_RETRY_DELAY = 0.2
 
 _log = logging.getLogger(__name__)
 
@@ -62,15 +62,15 @@
     """
 
     def __init__(
-        self, store: Store, key: str, interval: float, owner: StoreListener
+        self, store: Store, key: str, interval: float, listener: StoreListener
     ) -> None:
         self._store = store
         self._key = key
         self._interval = interval
-        self._owner = owner
+        self._listener = listener
         self._since = Revision(0)
         self._watched = False
-        self._held = Revision(0)
+        self._known_revision = Revision(0)
         self.last_error = ""
         self.reached_at = float("-inf")
 
@@ -82,14 +82,14 @@
 
     def _watch_loop(self) -> None:
         while True:
-            if not self._owner.is_watching():
+            if not self._listener.is_watching():
                 gevent.sleep(self._interval)
                 continue
             try:
                 self.watch_once()
             except StoreError as error:
                 self._note_error(error)
-                gevent.sleep(_PAUSE_AFTER_ERROR)
+                gevent.sleep(_RETRY_DELAY)
 
     def watch_once(self) -> None:
         """Wait for changes once, and pass them on.
@@ -100,14 +100,14 @@
         wait = _WATCH_WAIT if self._watched else 0.0
         changes = self._store.watch("", self._since, wait)
         self._watched = True
-        self._owner.handle_records(changes.records)
+        self._listener.handle_records(changes.records)
         # An answer from a restored store could be lower; the records
         # themselves never go back.
         self._since = max(self._since, changes.revision)
 
     def _proof_loop(self) -> None:
         while True:
-            if self._owner.is_watching():
+            if self._listener.is_watching():
                 self._prove()
             gevent.sleep(self._interval)
 
@@ -116,22 +116,22 @@
         try:
             revision = self._store.read_revision(self._key)
             record = None
-            if revision != self._held:
+            if revision != self._known_revision:
                 record = self._store.read(self._key)
         except StoreError as error:
             self._note_error(error)
             return
-        self._held = revision
+        self._known_revision = revision
         self.reached_at = time.monotonic()
         self.last_error = ""
-        self._owner.set_store_unavailable(False)
-        self._owner.handle_proof(asked_at, revision, record)
+        self._listener.set_store_unavailable(False)
+        self._listener.handle_proof(asked_at, revision, record)
 
     def _note_error(self, error: StoreError) -> None:
         if not self.last_error:
             _log.warning("store away", extra={"error": str(error)})
         self.last_error = str(error)
-        self._owner.set_store_unavailable(True)
+        self._listener.set_store_unavailable(True)
 
 
 def swap_assignment(
--- a/sedgetide/daemons/_storewatcher.py
+++ b/sedgetide/daemons/_storewatcher.py
@@ -16,16 +16,16 @@
 
 # A watch whose connection or store has gone silent looks like one without
 # news; this bounds how long a change of the policy can stay unseen then.
-_WATCH = 2.5
-_FIRST_WATCH = 0.2
-_PAUSE = 0.15
+_WATCH_WAIT = 2.5
+_FIRST_WATCH_WAIT = 0.2
+_RETRY_DELAY = 0.15
 # Seconds; a feed counts as silent after one, so this is a fifth on top.
-_FED_PAUSE = 0.2
-_GATHER = 0.15
-_LONGEST_PAUSE = 0.6
+_FED_POLL_INTERVAL = 0.2
+_BATCH_DELAY = 0.15
+_MAX_RETRY_DELAY = 0.6
 
 
-def choose_pause(leading: bool, news: int) -> float:
+def choose_watch_delay(leading: bool, news: int) -> float:
     """Return how long to wait before the next watch, in seconds.
 
     While nobody leads, every host watches for itself, and each event of
@@ -40,7 +40,7 @@
     news : int
         Number of events that the last watch brought.
     """
-    return _GATHER if news and not leading else 0.0
+    return _BATCH_DELAY if news and not leading else 0.0
 
 
 class StoreWatcher:
@@ -74,7 +74,7 @@
         self._listed = False
         self._is_fed = is_fed
         self._is_leading = is_leading
-        self._lost_again = False
+        self._history_was_lost = False
         self.available = False
 
     def start(self, stack: contextlib.ExitStack) -> None:
@@ -83,28 +83,28 @@
         stack.callback(self._store.close)
 
     def _loop(self) -> None:
-        pause = _PAUSE
+        pause = _RETRY_DELAY
         while True:
             if self._listed and self._is_fed():
-                gevent.sleep(_FED_PAUSE)
+                gevent.sleep(_FED_POLL_INTERVAL)
                 continue
             try:
-                if self._step():
-                    pause = _PAUSE
-                    self._lost_again = False
+                if self._sync_once():
+                    pause = _RETRY_DELAY
+                    self._history_was_lost = False
             except HistoryLost:
                 log_event(Event.HISTORY_LOST, revision=self._deployment.as_of)
                 self._listed = False
-                if self._lost_again:
+                if self._history_was_lost:
                     gevent.sleep(pause)
-                    pause = min(_LONGEST_PAUSE, pause * 1.5)
-                self._lost_again = True
+                    pause = min(_MAX_RETRY_DELAY, pause * 1.5)
+                self._history_was_lost = True
             except StoreError as error:
-                self._note_lost(error)
+                self._note_store_lost(error)
                 gevent.sleep(pause)
-                pause = min(_LONGEST_PAUSE, pause * 1.5)
+                pause = min(_MAX_RETRY_DELAY, pause * 1.5)
 
-    def _step(self) -> bool:
+    def _sync_once(self) -> bool:
         """List or watch once; return whether it was a watch."""
         watching = self._listed
         if not self._listed:
@@ -112,22 +112,24 @@
             self._deployment.apply_listing(listing, read_clock())
             self._listed = True
         else:
-            wait = _WATCH if self.available else _FIRST_WATCH
+            wait = _WATCH_WAIT if self.available else _FIRST_WATCH_WAIT
             since = self._deployment.as_of
             listing = self._store.watch(self._prefix, since, wait)
             self._deployment.apply_items(listing.items, read_clock())
         self._deployment.record_sync(listing.position, read_clock())
-        self._note_back()
-        gevent.sleep(choose_pause(self._is_leading(), len(listing.items)))
+        self._note_store_reached()
+        gevent.sleep(
+            choose_watch_delay(self._is_leading(), len(listing.items))
+        )
         return watching
 
-    def _note_lost(self, error: StoreError) -> None:
+    def _note_store_lost(self, error: StoreError) -> None:
         self._deployment.directory.note_registry_outage(read_clock())
         if self.available:
             log_event(Event.STORE_LOST, error=error)
         self.available = False
 
-    def _note_back(self) -> None:
+    def _note_store_reached(self) -> None:
         if not self.available:
             log_event(Event.STORE_REACHED, revision=self._deployment.as_of)
         self.available = True
--- a/sedgetide/daemons/host.py
+++ b/sedgetide/daemons/host.py
@@ -83,16 +83,16 @@
 from sedgetide.runtime.tasks import spawn_vital
 from sedgetide.wire.server import Server
 
-_LINK_BYTES = 1024 * 1024
-_HOUSEKEEPING = 0.2
-_PRUNED_EVERY = 10
-_STOP_POLL = 0.05
+_MAX_LINK_BYTES = 1024 * 1024
+_HOUSEKEEPING_INTERVAL = 0.2
+_PRUNE_PERIOD = 10
+_STOP_POLL_INTERVAL = 0.05
 _EXIT_RESERVE = 0.25
 # Hosts do not know of each other's retries. A share of each one's own
 # requests adds up to that share of all, whoever can talk to whom; the rest is
 # for those that start anew.
-_OWN_SHARE = 0.8
-_NOTICE_SHARE = 0.49
+_RETRY_SHARE = 0.8
+_MAX_NOTICE_SHARE = 0.49
 
 
 class DeploymentAdapter(msgspec.Struct, frozen=True):
@@ -135,7 +135,7 @@
         self, settings: HostSettings, dialects: DeploymentAdapter
     ) -> None:
         self._settings = settings
-        self._dialects = dialects
+        self._adapter = dialects
         self._stopping = False
         self.incarnation = make_incarnation()
         self._eras = EraTracker()
@@ -148,12 +148,15 @@
             lambda era: self._deployment.note_era(era, read_clock())
         )
         self._feed = FeedReceiver(self._deployment, self._eras)
-        self._lanes = UpstreamChannels(settings.limits.body_bytes)
+        self._channels = UpstreamChannels(settings.limits.body_bytes)
         self._meter = LoadMeter()
         self._partitions = PartitionDetector(settings.data_centre)
-        self._absent = False
+        self._withdrawn = False
         self._transport = Transport(
-            settings.link, _LINK_BYTES, self._handle, self._drop
+            settings.link,
+            _MAX_LINK_BYTES,
+            self._handle_message,
+            self._drop_message,
         )
         self._places = Places(
             LinkAddress(settings.link),
@@ -174,29 +177,29 @@
             self._transport.send,
             random.Random(self.incarnation),
         )
-        self._breaks = CrashDetector(
+        self._crash_detector = CrashDetector(
             self._deployment.directory, self._quarantine.note_upstream_end
         )
-        self._requests = RequestRouter(
+        self._router = RequestRouter(
             self._deployment,
             dialects.requests,
-            self._lanes,
+            self._channels,
             self._places,
             self._meter,
             settings.data_centre,
             self._partitions,
-            self._breaks,
+            self._crash_detector,
             self._quarantine,
             self._trials,
             RetryPolicy(
-                settings.retry_ratio * _OWN_SHARE, settings.retry_slack
+                settings.retry_ratio * _RETRY_SHARE, settings.retry_slack
             ),
             random.Random(settings.host),
         )
         self._server = Server(
-            self._requests.serve,
-            self._requests.is_idempotent,
-            self._requests.read_limits,
+            self._router.serve,
+            self._router.is_idempotent,
+            self._router.read_limits,
             BodyBudget(compute_body_limit(settings.memory_mb)),
         )
         self._leader = self._make_leader()
@@ -225,7 +228,7 @@
 
     def _open_store(self) -> LeaseStore:
         return InstrumentedStore(
-            self._dialects.open_store(self._settings.stores[0], self._eras)
+            self._adapter.open_store(self._settings.stores[0], self._eras)
         )
 
     def _make_leader(self) -> Leader:
@@ -237,7 +240,7 @@
             self.incarnation,
             LinkAddress(self._settings.link),
         )
-        campaign = Election(
+        election = Election(
             self._open_store(),
             record,
             leadership,
@@ -248,8 +251,8 @@
         return Leader(
             self._open_store(),
             self._deployment,
-            self._dialects.orders,
-            campaign,
+            self._adapter.orders,
+            election,
             leadership,
             durations,
             self._transport.send,
@@ -259,28 +262,28 @@
     def start(self, stack: contextlib.ExitStack) -> None:
         """Begin to listen, to follow, and to stand."""
         self._start_admin(stack)
-        stack.callback(self._lanes.close)
+        stack.callback(self._channels.close)
         stack.callback(self._transport.close)
         self._transport.start()
-        for prefix in self._dialects.catalogue.list_prefixes():
-            follower = StoreWatcher(
+        for prefix in self._adapter.catalogue.list_prefixes():
+            watcher = StoreWatcher(
                 self._open_store(),
                 prefix,
                 self._deployment,
                 self._is_fed,
                 lambda: self._leader.leading,
             )
-            follower.start(stack)
+            watcher.start(stack)
         self._leader.start(stack)
         LoadReporter(self._meter, self).start(stack)
-        spawn_vital(self._keep_house, stack)
+        spawn_vital(self._housekeeping_loop, stack)
         stack.callback(self._server.stop_accepting)
         self._server.start(
             open_listener(*split_address(self._settings.listen))
         )
 
     def _start_admin(self, stack: contextlib.ExitStack) -> None:
-        application = make_application(self, self._dialects.readiness_path)
+        application = make_application(self, self._adapter.readiness_path)
         for address in {self._settings.ready, self._settings.admin}:
             listener = open_listener(*split_address(address))
             server = WSGIServer(
@@ -289,41 +292,41 @@
             server.start()
             stack.callback(server.stop, timeout=0.1)
 
-    def _keep_house(self) -> None:
+    def _housekeeping_loop(self) -> None:
         for turn in itertools.count():
-            gevent.sleep(_HOUSEKEEPING)
+            gevent.sleep(_HOUSEKEEPING_INTERVAL)
             now = read_clock()
-            self._note_partition(now)
+            self._update_partition(now)
             self._places.run_periodic(now)
-            self._breaks.run_periodic(now)
+            self._crash_detector.run_periodic(now)
             self._quarantine.run_periodic(now)
             self._trials.run_periodic(now)
             self._deployment.apply_pending_evacuations(now)
             if self._deployment.directory.expire(now):
                 self._deployment.changes.notify_all()
-            if turn % _PRUNED_EVERY == 0:
+            if turn % _PRUNE_PERIOD == 0:
                 entries = self._deployment.directory.list_all()
-                self._lanes.prune({entry.name for entry in entries})
+                self._channels.prune({entry.name for entry in entries})
 
-    def _note_partition(self, now: float) -> None:
+    def _update_partition(self, now: float) -> None:
         """Send callers elsewhere while this host is cut off."""
-        absent = self._partitions.should_withdraw(
+        withdrawn = self._partitions.should_withdraw(
             self._deployment.heard_at, now
         )
-        if absent != self._absent:
-            self._absent = absent
+        if withdrawn != self._withdrawn:
+            self._withdrawn = withdrawn
             silence = now - self._deployment.heard_at
-            event = Event.CUT_OFF if absent else Event.REJOINED
+            event = Event.CUT_OFF if withdrawn else Event.REJOINED
             log_event(event, silence=f"{silence:.1f}")
-        self._server.close_after_answer = absent or self._stopping
+        self._server.close_after_answer = withdrawn or self._stopping
 
     # Links
 
-    def _handle(self, message: AnyMessage, sender: str) -> None:
+    def _handle_message(self, message: AnyMessage, sender: str) -> None:
         if isinstance(message, LoadReport):
             self._take_report(message, LinkAddress(sender))
         elif isinstance(message, StoreFeed):
-            self._feed.take(message, read_clock())
+            self._feed.handle_feed(message, read_clock())
         elif isinstance(message, Moved):
             self._deployment.complete_moves(message.service, message.tenures)
         elif isinstance(message, Lenders):
@@ -340,7 +343,7 @@
         self._quarantine.note_report(link, report.standing.quarantine, now)
         self._leader.note_report(report, link, now)
 
-    def _drop(self, message: Message) -> None:
+    def _drop_message(self, message: Message) -> None:
         """Leave a report unsent; the next one tells enough."""
 
     def _is_fed(self) -> bool:
@@ -354,7 +357,7 @@
         return None if leader is None else leader.record.link
 
     def send_report(self, link: LinkAddress, report: LoadReport) -> None:
-        report.standing = self._describe_standing()
+        report.standing = self._make_status()
         report.leaving = self._deployment.directory.list_announced()
         report.limits = self._places.list_limits(read_clock())
         if link == self._settings.link:
@@ -362,7 +365,7 @@
         else:
             self._transport.send(link, report)
 
-    def _describe_standing(self) -> HostStatus:
+    def _make_status(self) -> HostStatus:
         own = self._settings.available_cores
         return HostStatus(
             DataCentre(self._settings.data_centre),
@@ -374,7 +377,7 @@
     # Admin
 
     def is_ready(self) -> bool:
-        unready = self._stopping or self._absent
+        unready = self._stopping or self._withdrawn
         return self._deployment.complete and not unready
 
     def lift_quarantine(self, fingerprint: Fingerprint) -> bool:
@@ -410,7 +413,7 @@
         self._leader.resign()
         self._server.begin_stop()
         began = read_clock()
-        longest = self._settings.grace * _NOTICE_SHARE
+        longest = self._settings.grace * _MAX_NOTICE_SHARE
         notice = min(self._settings.limits.drain_notice, longest)
         self._wait_until(began + notice)
         self._server.stop_accepting()
@@ -418,7 +421,7 @@
         last = began + self._settings.grace - _EXIT_RESERVE
         while read_clock() < last and self._server.connections:
             self._server.close_idle()
-            gevent.sleep(_STOP_POLL)
+            gevent.sleep(_STOP_POLL_INTERVAL)
         log_event(
             Event.STOPPED,
             in_hand=self._server.in_hand,
@@ -427,7 +430,7 @@
 
     def _wait_until(self, end: float) -> None:
         while read_clock() < end:
-            gevent.sleep(_STOP_POLL)
+            gevent.sleep(_STOP_POLL_INTERVAL)
 
 
 def main(arguments: list[str] | None, dialects: DeploymentAdapter) -> int:
--- a/tests/daemons/test_election.py
+++ b/tests/daemons/test_election.py
@@ -1,4 +1,4 @@
-"""Tests of becoming the leader and of proving to be it."""
+"""Tests of leader election."""
 
 import msgspec
 import testtools
@@ -27,7 +27,7 @@
 
 
 class FakeCatalogue(RegistryDialect):
-    """Knows nothing."""
+    """Registry without entries."""
 
     def list_prefixes(self):
         return ("",)
@@ -37,53 +37,53 @@
 
 
 class ModelStore(LeaseStore):
-    """The store's model as a client of it; may be away."""
+    """Client of the store's model; can be made unavailable."""
 
     def __init__(self, model):
         self.model = model
-        self.away = False
+        self.unavailable = False
 
-    def _reach(self):
-        if self.away:
+    def _check_available(self):
+        if self.unavailable:
             raise StoreError(
-                ErrorCode.STORE_UNAVAILABLE, Step.READ, "store", "away"
+                ErrorCode.STORE_UNAVAILABLE, Step.READ, "store", "unavailable"
             )
 
     def read(self, key):
-        self._reach()
+        self._check_available()
         return self.model.find(key)
 
     def list(self, prefix):
-        self._reach()
+        self._check_available()
         return self.model.list(prefix)
 
     def watch(self, prefix, since, wait):
-        self._reach()
+        self._check_available()
         return self.model.list_changes(prefix, since)
 
     def transact(self, era, expected, writes):
-        self._reach()
+        self._check_available()
         revisions = {key: each.revision for key, each in expected.items()}
         return self.model.transact(revisions, writes)
 
     def open_lease(self, life):
-        self._reach()
+        self._check_available()
         return self.model.open_lease(life, read_clock())
 
     def renew_lease(self, lease):
-        self._reach()
+        self._check_available()
         self.model.renew_lease(lease, read_clock())
 
     def end_lease(self, lease):
-        self._reach()
+        self._check_available()
         self.model.end_lease(lease)
 
     def close(self):
         pass
 
 
-class TestCampaign(testtools.TestCase):
-    """Steps of one host, with the store's model behind it."""
+class TestElection(testtools.TestCase):
+    """Steps of one host against a model of the store."""
 
     def setUp(self):
         super().setUp()
@@ -92,7 +92,7 @@
         self.durations = Durations(verify=0.001)
         self.leadership = Leadership(self.durations)
         self.deployment = DeploymentState(FakeCatalogue())
-        self.campaign = Election(
+        self.election = Election(
             self.store,
             LeaderRecord("h-1", "x", "1.1.1.1:1"),
             self.leadership,
@@ -102,22 +102,22 @@
 
     def step(self, later=0.0):
         self.deployment.record_sync(AS_OF, read_clock() + later)
-        self.campaign.step(read_clock() + later)
+        self.election.step(read_clock() + later)
 
-    def stand(self):
+    def become_leader(self):
         self.step()
         self.step(1.0)
         self.assertTrue(self.leadership.may_order(read_clock()))
 
-    def test_stands_where_nobody_leads(self):
-        self.stand()
+    def test_runs_when_there_is_no_leader(self):
+        self.become_leader()
         self.assertIsNotNone(self.model.find(LEADER_KEY))
 
-    def test_weak_host_lets_stronger_ones_stand_first(self):
-        # The leader of ninety hosts is killed. The next one renews some
-        # five hundred grants a second: a host with 0.4 of a core falls
-        # behind, grants run out and their keys' callers are refused.
-        last_of_the_strong = find_election_delay(2.0) + 0.4
+    def test_weak_host_lets_stronger_ones_run_first(self):
+        # The leader of ninety hosts renews some five hundred grants a second.
+        # A leader with 0.4 of a core falls behind: grants expire and callers
+        # of their keys are refused.
+        latest_strong_delay = find_election_delay(2.0) + 0.4
         weak = Election(
             self.store,
             LeaderRecord("h-2", "y", "1.1.1.2:1"),
@@ -131,16 +131,17 @@
             self.deployment.record_sync(AS_OF, now)
             weak.step(now + later)
         self.assertIsNone(self.model.find(LEADER_KEY))
-        weak.step(now + last_of_the_strong + find_election_delay(0.4))
+        weak.step(now + latest_strong_delay + find_election_delay(0.4))
         self.assertIsNotNone(self.model.find(LEADER_KEY))
 
-    def test_does_not_stand_on_old_news(self):
-        # The host was cut off; that nobody leads is what it knew then.
-        self.campaign.step(read_clock())
-        self.campaign.step(read_clock() + 1.0)
+    def test_does_not_run_on_outdated_state(self):
+        # Guards against an election by a partitioned host, whose state of
+        # the deployment is outdated.
+        self.election.step(read_clock())
+        self.election.step(read_clock() + 1.0)
         self.assertEqual(NO_POSITION, self.leadership.term)
 
-    def test_faster_host_wins(self):
+    def test_first_writer_of_the_record_wins(self):
         self.model.put(LEADER_KEY, b"{}")
         self.step()
         self.step(1.0)
@@ -150,9 +151,9 @@
         self.deployment.apply_items(self.model.list("").items, read_clock())
 
     def test_takes_over_from_its_own_process_that_was_killed(self):
-        # All hosts are killed and back within a second. Were the record of
-        # the one that led waited for, no grant would be renewed for the
-        # rest of its lease, and keys would go dark.
+        # All hosts are killed and restarted within a second. If the new
+        # process waited for the old one's lease to expire, no grant would be
+        # renewed meanwhile and keys would become unavailable.
         former = LeaderRecord("h-1", "before", "1.1.1.1:1")
         self.model.put(LEADER_KEY, msgspec.json.encode(former))
         self.list_own()
@@ -160,8 +161,8 @@
         self.assertTrue(self.leadership.may_order(read_clock()))
 
     def test_leaves_the_record_of_another_host_alone(self):
-        # The name was given to a new machine at another address; the old
-        # one may be cut off and lead.
+        # The host name was reassigned to a machine at another address. The
+        # old one may be partitioned and still lead.
         for other in (
             LeaderRecord("h-1", "before", "1.1.1.9:1"),
             LeaderRecord("h-9", "before", "1.1.1.1:1"),
@@ -172,52 +173,54 @@
             self.step(1.0)
             self.assertEqual(NO_POSITION, self.leadership.term)
 
-    def test_record_taken_away_while_the_lease_goes_on(self):
-        self.stand()
+    def test_record_removed_while_the_lease_is_renewed(self):
+        self.become_leader()
         self.model.revoke_all(forget=False)
         self.step(2.0)
         self.assertEqual(NO_POSITION, self.leadership.term)
 
-    def test_turned_away_long_enough_it_gives_up(self):
-        self.stand()
-        self.store.away = True
+    def test_unavailable_store_ends_the_term(self):
+        self.become_leader()
+        self.store.unavailable = True
         self.step(1.0)
         self.assertNotEqual(NO_POSITION, self.leadership.term)
         self.step(10.0)
         self.assertEqual(NO_POSITION, self.leadership.term)
 
-    def return_from_copy(self):
-        """Have the store come back, and the host hear of it."""
+    def restore_store(self):
+        """Restore the store from a backup and notify the host."""
         self.model.restore(self.model.copy(), read_clock())
         self.leadership.note_era(1)
         self.deployment.note_era(1, read_clock())
 
-    def test_leads_on_the_last_proof_only_after_a_return(self):
-        # Guards against a term that goes on by a record from the copy.
-        self.stand()
-        self.return_from_copy()
+    def test_leads_on_the_last_proof_only_after_a_restore(self):
+        # Guards against a term prolonged by the record in the backup.
+        self.become_leader()
+        self.restore_store()
         self.step(0.1)
         self.assertTrue(self.leadership.may_order(read_clock()))
         self.step(self.durations.proof_life)
         self.assertEqual(NO_POSITION, self.leadership.term)
 
     def test_lease_of_an_earlier_era_is_left_alone(self):
-        # Guards against an end to the lease of whoever has its id now.
-        self.stand()
+        # Guards against ending the lease of another host, to which the store
+        # gave the same id after the restore.
+        self.become_leader()
         calls = []
         self.store.renew_lease = calls.append
         self.store.end_lease = calls.append
-        self.return_from_copy()
+        self.restore_store()
         self.step(0.1)
-        self.campaign.resign()
+        self.election.resign()
         self.assertEqual([], calls)
 
-    def test_lease_of_a_stand_that_a_return_cut_short_is_left_alone(self):
-        # Guards against an end to the lease of whoever has its id now.
+    def test_lease_of_an_attempt_interrupted_by_a_restore_is_left_alone(self):
+        # Guards against ending the lease of another host, to which the store
+        # gave the same id after a restore during the election.
         ended = []
 
         def conflict(era, expected, writes):
-            self.return_from_copy()
+            self.restore_store()
             raise StoreConflict(Step.WRITE, "store", 0, -1)
 
         self.store.transact = conflict
@@ -227,10 +230,10 @@
         self.assertEqual([], ended)
         self.assertEqual(NO_POSITION, self.leadership.term)
 
-    def test_stands_in_the_new_era_once_it_has_listed_the_store(self):
-        # Guards against standing by what was known of the era before.
-        self.stand()
-        self.return_from_copy()
+    def test_runs_in_the_new_era_once_it_has_listed_the_store(self):
+        # Guards against an election by state read before the restore.
+        self.become_leader()
+        self.restore_store()
         self.step(self.durations.proof_life)
         self.step(5.0)
         self.assertIsNone(self.model.find(make_leader_key(1)))
@@ -241,6 +244,6 @@
         self.assertEqual(1, self.leadership.term.era)
 
     def test_resigned_record_is_gone_at_once(self):
-        self.stand()
-        self.campaign.resign()
+        self.become_leader()
+        self.election.resign()
         self.assertIsNone(self.model.find(LEADER_KEY))
--- a/tests/daemons/test_feed.py
+++ b/tests/daemons/test_feed.py
@@ -11,7 +11,7 @@
 from sedgetide.core.history import Position
 from sedgetide.core.membership.directory import RegisteredUpstream
 from sedgetide.daemons._deployment import DeploymentState
-from sedgetide.daemons._feed import FEED_LIFE
+from sedgetide.daemons._feed import FEED_TIMEOUT
 from sedgetide.daemons._feed import FeedPublisher
 from sedgetide.daemons._feed import FeedReceiver
 
@@ -43,9 +43,9 @@
         self.leader = DeploymentState(FakeCatalogue())
         self.host = DeploymentState(FakeCatalogue())
         self.eras = EraTracker()
-        self.sink = FeedReceiver(self.host, self.eras)
+        self.receiver = FeedReceiver(self.host, self.eras)
         self.sent = []
-        self.source = FeedPublisher(
+        self.publisher = FeedPublisher(
             self.leader, lambda _, message: self.sent.append(message)
         )
 
@@ -54,12 +54,12 @@
         self.leader.record_sync(at(revision), now)
 
     def report(self, now):
-        self.source.note_report(LINK, self.host.as_of, now)
+        self.publisher.note_report(LINK, self.host.as_of, now)
 
     def deliver(self, now):
         messages, self.sent = self.sent, []
         for message in messages:
-            self.sink.take(message, now)
+            self.receiver.handle_feed(message, now)
 
     def list_names(self):
         entries = self.host.directory.list_active("maps")
@@ -76,18 +76,18 @@
         self.deliver(100.1)
         self.assertEqual(["u-1", "u-2"], self.list_names())
         self.assertEqual(at(6), self.host.as_of)
-        self.assertTrue(self.sink.is_fresh(100.2))
+        self.assertTrue(self.receiver.is_fresh(100.2))
 
     def test_host_learns_how_many_there_are(self):
         # Each host saves its part of the retries granted to all; one that
         # a cut hides from the leader goes on to use its own.
         self.tell_leader(5, "u-1")
-        self.source.note_report("10.0.0.3:1", at(0), 100.0)
+        self.publisher.note_report("10.0.0.3:1", at(0), 100.0)
         self.report(100.0)
         self.deliver(100.0)
         self.assertEqual(3, self.host.hosts)
         self.assertEqual(3, self.leader.hosts)
-        self.source.publish(104.0)
+        self.publisher.publish(104.0)
         self.report(104.0)
         self.deliver(104.0)
         self.assertEqual(3, self.host.hosts)
@@ -99,12 +99,12 @@
             self.tell_leader(number, f"u-{number}", b"x" * 200)
         self.report(100.0)
         self.deliver(100.0)
-        self.assertTrue(self.sink.is_fresh(100.0))
+        self.assertTrue(self.receiver.is_fresh(100.0))
 
     def feed_versions(self, *values):
         for revision, value in enumerate(values, 5):
             self.tell_leader(revision, "u-1", value)
-            self.source.publish(100.0)
+            self.publisher.publish(100.0)
 
     def test_change_of_a_long_item_travels_as_a_patch(self):
         value = bytes(range(256)) * 20
@@ -130,14 +130,14 @@
         self.deliver(100.0)
         self.assertEqual(4, self.host.find_item("u-1").position.revision)
         self.assertEqual(at(5), self.host.as_of)
-        self.assertFalse(self.sink.is_fresh(100.0))
+        self.assertFalse(self.receiver.is_fresh(100.0))
 
     def test_news_are_pushed_once(self):
         self.report(100.0)
         self.deliver(100.0)
         self.tell_leader(5, "u-1")
-        self.source.publish(100.1)
-        self.source.publish(100.2)
+        self.publisher.publish(100.1)
+        self.publisher.publish(100.2)
         self.assertEqual(1, len(self.sent))
 
     def test_lost_message_leaves_no_gap(self):
@@ -146,10 +146,10 @@
         self.report(100.0)
         self.deliver(100.0)
         self.tell_leader(5, "u-1")
-        self.source.publish(100.1)
+        self.publisher.publish(100.1)
         self.sent.clear()
         self.tell_leader(6, "u-2")
-        self.source.publish(100.2)
+        self.publisher.publish(100.2)
         self.deliver(100.2)
         self.assertEqual([], self.list_names())
         self.assertEqual(at(0), self.host.as_of)
@@ -162,7 +162,7 @@
         self.report(100.0)
         self.deliver(100.0)
         self.tell_leader(7, "u-1", None)
-        self.source.publish(100.1)
+        self.publisher.publish(100.1)
         self.deliver(100.1)
         self.assertEqual([], self.list_names())
 
@@ -172,7 +172,7 @@
         old = list(self.sent)
         self.deliver(100.0)
         self.tell_leader(7, "u-1", None)
-        self.source.publish(100.1)
+        self.publisher.publish(100.1)
         self.deliver(100.1)
         self.sent = old
         self.deliver(100.2)
@@ -183,9 +183,9 @@
         # The leader is gone, or cut off: the host watches again.
         self.report(100.0)
         self.tell_leader(5, "u-1")
-        self.source.publish(100.0)
+        self.publisher.publish(100.0)
         self.deliver(100.0)
-        self.assertFalse(self.sink.is_fresh(100.0 + FEED_LIFE))
+        self.assertFalse(self.receiver.is_fresh(100.0 + FEED_TIMEOUT))
 
     def test_leader_that_hears_nothing_passes_nothing_on(self):
         # The leader's own watch has gone silent. What it says then would
@@ -198,9 +198,9 @@
         self.tell_leader(5, "u-1")
         self.report(100.0)
         self.deliver(100.0)
-        self.source.end()
+        self.publisher.end()
         self.deliver(100.1)
-        self.assertFalse(self.sink.is_fresh(100.1))
+        self.assertFalse(self.receiver.is_fresh(100.1))
 
     def test_large_item_is_left_to_the_store(self):
         # The operators add 1,400 routes. The leader's link has room for
@@ -210,10 +210,10 @@
         self.report(100.0)
         self.deliver(100.0)
         self.tell_leader(5, "u-1", b"x" * 140_000)
-        self.source.publish(100.1)
+        self.publisher.publish(100.1)
         self.assertEqual([[]], [each.items for each in self.sent])
         self.deliver(100.1)
-        self.assertFalse(self.sink.is_fresh(100.1))
+        self.assertFalse(self.receiver.is_fresh(100.1))
         self.assertEqual(at(0), self.host.as_of)
 
     def test_host_that_the_store_turns_away_gets_the_large_item(self):
@@ -226,11 +226,11 @@
         for moment in (100.0, 100.4, 100.8, 101.2, 101.3):
             self.leader.record_sync(at(5), moment)
             self.report(moment)
-            self.source.note_report(other, at(0), moment)
+            self.publisher.note_report(other, at(0), moment)
         large = [each for each in self.sent if each.items]
         self.assertEqual(1, len(large))
         self.leader.record_sync(at(5), 101.6)
-        self.source.note_report(other, at(0), 101.6)
+        self.publisher.note_report(other, at(0), 101.6)
         large = [each for each in self.sent if each.items]
         self.assertEqual(2, len(large))
         self.deliver(101.6)
@@ -240,12 +240,12 @@
         self.tell_leader(5, "u-1", b"x" * 1_000_000)
         self.report(100.0)
         self.deliver(100.0)
-        self.assertFalse(self.sink.is_fresh(100.0))
+        self.assertFalse(self.receiver.is_fresh(100.0))
         self.host.record_sync(at(5), 100.1)
         self.tell_leader(6, "u-2", now=100.2)
         self.report(100.3)
         self.deliver(100.3)
-        self.assertTrue(self.sink.is_fresh(100.3))
+        self.assertTrue(self.receiver.is_fresh(100.3))
         self.assertEqual(["u-2"], self.list_names())
 
     def test_outage_seen_by_the_leader_protects_entries(self):
@@ -256,7 +256,7 @@
         self.deliver(100.0)
         self.leader.directory.note_registry_outage(101.0)
         self.tell_leader(7, "u-1", None, 101.0)
-        self.source.publish(101.0)
+        self.publisher.publish(101.0)
         self.deliver(101.0)
         self.assertEqual(["u-1"], self.list_names())
 
@@ -297,23 +297,23 @@
         self.feed_both()
         self.return_from_copy(["u-2"])
         for moment in (101.0, 101.4, 101.8):
-            self.source.tell_era(LINK, self.host.as_of, moment)
+            self.publisher.announce_era(LINK, self.host.as_of, moment)
         self.assertEqual([], self.sent)
         self.leader.record_sync(at(4, 1), 102.1)
-        self.source.tell_era(LINK, self.host.as_of, 102.1)
+        self.publisher.announce_era(LINK, self.host.as_of, 102.1)
         self.deliver(102.1)
         self.assertEqual(at(4, 1), self.host.as_of)
-        self.source.tell_era(LINK, self.host.as_of, 102.5)
+        self.publisher.announce_era(LINK, self.host.as_of, 102.5)
         self.assertEqual([], self.sent)
 
     def test_host_is_sent_to_the_store_first(self):
         # Guards against a leader that sends all there is to each host.
         self.feed_both()
         self.return_from_copy(["u-1"])
-        self.source.publish(101.0)
+        self.publisher.publish(101.0)
         self.assertEqual([[]], [each.items for each in self.sent])
         self.deliver(101.0)
-        self.assertFalse(self.sink.is_fresh(101.0))
+        self.assertFalse(self.receiver.is_fresh(101.0))
         self.assertEqual(at(50), self.host.as_of)
 
     def test_part_of_a_later_era_is_not_taken(self):
@@ -322,7 +322,7 @@
         part = StoreFeed(
             at(4, 1), at(5, 1), 0.0, 0.0, [Item("u-2", at(5, 1), b"x")]
         )
-        self.sink.take(part, 101.0)
+        self.receiver.handle_feed(part, 101.0)
         self.assertEqual(["u-1"], self.list_names())
         self.assertEqual(at(50), self.host.as_of)
 
@@ -333,7 +333,7 @@
         self.host.apply_listing(Listing(items, at(4, 1)), 101.0)
         self.host.record_sync(at(4, 1), 101.0)
         self.tell_leader(60, "u-3", now=101.0)
-        self.source.publish(101.0)
+        self.publisher.publish(101.0)
         self.deliver(101.0)
         self.assertNotIn("u-3", self.list_names())
         self.report(101.1)
--- a/tests/daemons/test_loadreporter.py
+++ b/tests/daemons/test_loadreporter.py
@@ -14,14 +14,14 @@
         self.meter = LoadMeter()
         for _ in range(200):
             self.note("usual", 0.2, waiting=0)
-        self.meter.take_report(1)
+        self.meter.collect_report(1)
 
     def note(self, upstream, seconds, waiting):
         load = UpstreamLoad(6, waiting, 6)
         self.meter.note_answer("tiles", upstream, seconds, load)
 
     def find_slowness(self, upstream):
-        report = self.meter.take_report(1)
+        report = self.meter.collect_report(1)
         seen = {each.upstream: each for each in report.upstreams}[upstream]
         return seen.slowness / seen.answers
 
--- a/tests/daemons/test_orderclient.py
+++ b/tests/daemons/test_orderclient.py
@@ -17,7 +17,7 @@
 CLOSING = OBEYED.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
 
 
-class TestOrderLane(testtools.TestCase):
+class TestOrderClient(testtools.TestCase):
     """Whether an order has left this host, as far as can be known."""
 
     def setUp(self):
@@ -26,14 +26,14 @@
         self.listener.bind(("127.0.0.1", 0))
         self.listener.listen(8)
         self.addCleanup(self.listener.close)
-        self.lane = self.make_lane()
+        self.client = self.make_client()
         self.prepared = []
 
-    def make_lane(self, settling=0.003):
+    def make_client(self, reset_wait=0.003):
         address = f"127.0.0.1:{self.listener.getsockname()[1]}"
-        lane = OrderClient("u-1", address, PlatformOrders(), 0.5, settling)
-        self.addCleanup(lane.close)
-        return lane
+        client = OrderClient("u-1", address, PlatformOrders(), 0.5, reset_wait)
+        self.addCleanup(client.close)
+        return client
 
     def prepare(self):
         self.prepared.append(1)
@@ -50,16 +50,16 @@
             )
             peer.close()
 
-        self.lane = self.make_lane(settling=5.0)
+        self.client = self.make_client(reset_wait=5.0)
         task = gevent.spawn(reset)
-        result = self.lane.grant(KEYS, 1, "", self.prepare)
+        result = self.client.grant(KEYS, 1, "", self.prepare)
         task.join()
         self.assertIs(OrderOutcome.UNSENT, result.taken)
         self.assertEqual([], self.prepared)
 
     def test_unanswered_grant_may_have_been_taken(self):
         task = gevent.spawn(self.listener.accept)
-        result = self.lane.grant(KEYS, 1, "", self.prepare)
+        result = self.client.grant(KEYS, 1, "", self.prepare)
         task.join()
         self.assertIs(OrderOutcome.UNKNOWN, result.taken)
         self.assertEqual([1], self.prepared)
@@ -118,16 +118,16 @@
         self.upstream = Upstream()
         self.addCleanup(self.upstream.stop)
         address = f"127.0.0.1:{self.upstream.port}"
-        self.lane = OrderClient("u-1", address, PlatformOrders(), 0.5)
-        self.addCleanup(self.lane.close)
+        self.client = OrderClient("u-1", address, PlatformOrders(), 0.5)
+        self.addCleanup(self.client.close)
 
     def grant(self):
-        return self.lane.grant(KEYS, 1, "", lambda: 3.5).taken
+        return self.client.grant(KEYS, 1, "", lambda: 3.5).taken
 
     def test_kept_connection_goes_to_the_same_process(self):
         for _ in range(3):
             self.assertIs(OrderOutcome.DONE, self.grant())
-        self.assertEqual(0, self.lane.session)
+        self.assertEqual(0, self.client.session)
 
     def test_restart_between_two_orders(self):
         # The upstream crashes and is back within one interval of renewals,
@@ -136,13 +136,13 @@
         self.upstream.stop()
         self.upstream.start()
         self.grant()
-        self.assertEqual(1, self.lane.session)
+        self.assertEqual(1, self.client.session)
 
     def test_refused_connection(self):
         # A leader that never had a connection meets it while it is down.
         self.upstream.stop()
         self.assertIs(OrderOutcome.UNSENT, self.grant())
-        self.assertEqual(1, self.lane.session)
+        self.assertEqual(1, self.client.session)
 
     def test_order_in_hand_at_the_crash(self):
         self.grant()
@@ -151,9 +151,9 @@
             self.upstream.stop()
             return 3.5
 
-        result = self.lane.grant(KEYS, 1, "", crash)
+        result = self.client.grant(KEYS, 1, "", crash)
         self.assertIs(OrderOutcome.UNKNOWN, result.taken)
-        self.assertEqual(1, self.lane.session)
+        self.assertEqual(1, self.client.session)
 
     def test_restart_while_another_order_is_under_way(self):
         # Two workers renew. The upstream restarts while the first has its
@@ -168,17 +168,17 @@
             return 3.5
 
         def look():
-            sessions.append(self.lane.session)
+            sessions.append(self.client.session)
             return 3.5
 
-        first = gevent.spawn(self.lane.grant, KEYS, 1, "", hold_back)
+        first = gevent.spawn(self.client.grant, KEYS, 1, "", hold_back)
         gevent.sleep(0.02)
         self.upstream.stop()
         self.upstream.start()
-        self.lane.grant(KEYS, 1, "", look)
+        self.client.grant(KEYS, 1, "", look)
         first.join()
         self.assertEqual([1], sessions)
-        self.assertEqual(1, self.lane.session)
+        self.assertEqual(1, self.client.session)
 
     def test_order_beside_a_sound_one_is_no_restart(self):
         self.grant()
@@ -187,11 +187,11 @@
             gevent.sleep(0.1)
             return 3.5
 
-        first = gevent.spawn(self.lane.grant, KEYS, 1, "", hold_back)
+        first = gevent.spawn(self.client.grant, KEYS, 1, "", hold_back)
         gevent.sleep(0.02)
         self.assertIs(OrderOutcome.DONE, self.grant())
         self.assertIs(OrderOutcome.DONE, first.get().taken)
-        self.assertEqual(0, self.lane.session)
+        self.assertEqual(0, self.client.session)
 
     def test_announced_end_of_the_only_connection(self):
         # An upstream closes a connection now and then. To move its keys to
@@ -199,7 +199,7 @@
         self.upstream.answer = CLOSING
         for _ in range(3):
             self.assertIs(OrderOutcome.DONE, self.grant())
-        self.assertEqual(0, self.lane.session)
+        self.assertEqual(0, self.client.session)
 
     def test_pause_before_the_next_connection_proves_nothing(self):
         # The answer announces the end of the only connection; this host is
@@ -208,7 +208,7 @@
         self.upstream.answer = CLOSING
         self.upstream.pause = 0.2
         self.assertIs(OrderOutcome.DONE, self.grant())
-        self.assertEqual(1, self.lane.session)
+        self.assertEqual(1, self.client.session)
 
     def test_restart_after_the_announced_end_of_the_only_connection(self):
         # The upstream answers with the wish to close, and ends. Nothing is
@@ -220,7 +220,7 @@
         self.upstream.ends = False
         self.upstream.start()
         self.assertIs(OrderOutcome.DONE, self.grant())
-        self.assertEqual(1, self.lane.session)
+        self.assertEqual(1, self.client.session)
 
     def test_unanswered_order_says_nothing_of_a_restart(self):
         # Some upstreams leave orders unanswered for seconds. To move their
@@ -228,4 +228,4 @@
         self.upstream._serve = lambda peer: gevent.sleep(9)
         self.assertIs(OrderOutcome.UNKNOWN, self.grant())
         self.assertIs(OrderOutcome.UNKNOWN, self.grant())
-        self.assertEqual(0, self.lane.session)
+        self.assertEqual(0, self.client.session)
--- a/tests/daemons/test_orderexecutor.py
+++ b/tests/daemons/test_orderexecutor.py
@@ -45,17 +45,17 @@
         self.deployment.update_table(
             SERVICE, self.table, Position(0, 8), read_clock()
         )
-        lanes = OrderClients(PlatformOrders(), durations.order_timeout)
-        lanes.note_addresses(self.deployment.directory, read_clock())
-        self.addCleanup(lanes.forget, ())
-        self.desk = OrderExecutor(
+        clients = OrderClients(PlatformOrders(), durations.order_timeout)
+        clients.update_entries(self.deployment.directory, read_clock())
+        self.addCleanup(clients.forget, ())
+        self.executor = OrderExecutor(
             Term(leadership, durations),
             self.deployment,
-            lanes,
+            clients,
             durations,
             lambda *_: None,
         )
-        self.addCleanup(self.desk.close)
+        self.addCleanup(self.executor.close)
 
     def wait_for(self, test):
         with gevent.Timeout(5.0):
@@ -67,7 +67,7 @@
         # no fence and would take its former start's keys, while nobody has
         # waited for what that start may still do. The leader gives them anew
         # at a higher fence instead.
-        self.desk.follow(SERVICE, self.table)
+        self.executor.reconcile(SERVICE, self.table)
         self.wait_for(lambda: self.upstream.grants)
         self.upstream.stop()
         self.upstream.grants.clear()
@@ -75,7 +75,7 @@
         fenced = set()
 
         def is_told():
-            fenced.update(self.desk.take_fenced(SERVICE))
+            fenced.update(self.executor.pop_fenced(SERVICE))
             return bool(fenced)
 
         self.wait_for(is_told)
@@ -84,7 +84,7 @@
         self.assertEqual(set(self.table.tenures), fenced)
 
 
-class SlowLane:
+class SlowClient:
     """Way to an upstream whose connection opens when the test says so."""
 
     session = 0
@@ -94,30 +94,30 @@
         self.waiting = Event()
         self._sent = sent
 
-    def _give(self, kind, keys, fence, may_leave):
+    def _send(self, kind, keys, fence, may_send):
         self.waiting.set()
         self.opened.wait(5.0)
-        if not may_leave():
+        if not may_send():
             return OrderResult(OrderOutcome.UNSENT)
         self._sent.append((kind, keys.low, fence))
         return OrderResult(OrderOutcome.DONE)
 
     def grant(self, keys, fence, handover, prepare):
-        return self._give("grant", keys, fence, prepare)
+        return self._send("grant", keys, fence, prepare)
 
-    def release(self, keys, fence, may_leave):
-        return self._give("release", keys, fence, may_leave)
+    def release(self, keys, fence, may_send):
+        return self._send("release", keys, fence, may_send)
 
 
-class SlowLanes:
+class SlowClients:
     """One slow way to each upstream."""
 
     def __init__(self, names):
         self.sent = {name: [] for name in names}
-        self.lanes = {name: SlowLane(self.sent[name]) for name in names}
+        self.clients = {name: SlowClient(self.sent[name]) for name in names}
 
     def find(self, upstream):
-        return self.lanes[upstream]
+        return self.clients[upstream]
 
     def find_address(self, upstream):
         return ""
@@ -133,16 +133,16 @@
         # Whatever an earlier leader granted has run out.
         leadership.begin(TERM, read_clock(), read_clock() - 60.0)
         self.deployment = DeploymentState(FakeCatalogue())
-        self.lanes = SlowLanes(("u-1", "u-2", "u-3"))
+        self.clients = SlowClients(("u-1", "u-2", "u-3"))
         self.moved = []
-        self.desk = OrderExecutor(
+        self.executor = OrderExecutor(
             Term(leadership, durations),
             self.deployment,
-            self.lanes,
+            self.clients,
             durations,
             lambda _, tenure: self.moved.append(tenure),
         )
-        self.addCleanup(self.desk.close)
+        self.addCleanup(self.executor.close)
         self.revision = 8
         self.table = RangeTable().assign_first([("u-1", 1)])
 
@@ -153,29 +153,29 @@
             SERVICE, table, Position(0, self.revision), read_clock()
         )
 
-    def follow(self, table):
+    def reconcile(self, table):
         self.put_in_force(table)
-        self.desk.follow(SERVICE, table)
+        self.executor.reconcile(SERVICE, table)
 
     def move(self, successor):
         keys = KeyRange(0, 99)
         return self.table.begin([Move(keys, successor)])
 
     def let_through(self, name):
-        self.lanes.lanes[name].opened.set()
+        self.clients.clients[name].opened.set()
         gevent.sleep(0.01)
 
     def test_renewal_does_not_follow_the_grant_of_the_next_owner(self):
         # Two owners of one key at once: the renewal is begun in time, and
         # its connection opens after its range has gone to another.
-        self.follow(self.table)
-        self.assertTrue(self.lanes.lanes["u-1"].waiting.wait(1.0))
+        self.reconcile(self.table)
+        self.assertTrue(self.clients.clients["u-1"].waiting.wait(1.0))
         # Nothing was sent to the owner, so nothing has to be waited for.
-        self.follow(self.move("u-2"))
+        self.reconcile(self.move("u-2"))
         self.let_through("u-2")
-        self.assertEqual([("grant", 0, 2)], self.lanes.sent["u-2"])
+        self.assertEqual([("grant", 0, 2)], self.clients.sent["u-2"])
         self.let_through("u-1")
-        self.assertNotIn(("grant", 0, 1), self.lanes.sent["u-1"])
+        self.assertNotIn(("grant", 0, 1), self.clients.sent["u-1"])
 
     def test_owners_of_a_later_era_get_no_orders_of_this_term(self):
         # Guards against two owners: the next leader counts on its own grants
@@ -183,34 +183,34 @@
         self.deployment.update_table(
             SERVICE, self.table, Position(1, 2), read_clock()
         )
-        self.desk.follow(SERVICE, self.table)
+        self.executor.reconcile(SERVICE, self.table)
         self.let_through("u-1")
-        self.assertEqual([], self.lanes.sent["u-1"])
+        self.assertEqual([], self.clients.sent["u-1"])
 
     def test_grant_of_a_move_that_was_overtaken_stays_here(self):
         # Two owners of one key at once: the successor of a move that the
         # table no longer has is reached after the next one has the keys.
         self.put_in_force(self.move("u-2"))
         tenure = self.table.find(0)
-        task = gevent.spawn(self.desk._grant, SERVICE, "u-2", tenure, "")
+        task = gevent.spawn(self.executor._grant, SERVICE, "u-2", tenure, "")
         self.addCleanup(task.kill)
-        self.assertTrue(self.lanes.lanes["u-2"].waiting.wait(1.0))
+        self.assertTrue(self.clients.clients["u-2"].waiting.wait(1.0))
         self.put_in_force(self.table.complete([tenure]))
         self.put_in_force(self.move("u-3"))
         self.let_through("u-2")
-        self.assertEqual([], self.lanes.sent["u-2"])
+        self.assertEqual([], self.clients.sent["u-2"])
 
     def test_release_of_a_move_that_was_overtaken_stays_here(self):
         # Keys go dark: a release sent late takes back what the same
         # upstream has got again since.
         self.put_in_force(self.move("u-2"))
         tenure = self.table.find(0)
-        task = gevent.spawn(self.desk._release, SERVICE, tenure)
+        task = gevent.spawn(self.executor._release, SERVICE, tenure)
         self.addCleanup(task.kill)
-        self.assertTrue(self.lanes.lanes["u-1"].waiting.wait(1.0))
+        self.assertTrue(self.clients.clients["u-1"].waiting.wait(1.0))
         self.put_in_force(self.table.complete([tenure]))
         self.put_in_force(self.move("u-1"))
         self.put_in_force(self.table.complete([self.table.find(0)]))
         self.let_through("u-1")
-        self.assertEqual([], self.lanes.sent["u-1"])
+        self.assertEqual([], self.clients.sent["u-1"])
         self.assertIsNone(task.get())
--- a/tests/daemons/test_renewal.py
+++ b/tests/daemons/test_renewal.py
@@ -7,12 +7,12 @@
 
 from sedgetide.core.ownership.ranges import Tenure
 from sedgetide.daemons._orderclient import OrderOutcome
-from sedgetide.daemons._renewal import renew_round
+from sedgetide.daemons._renewal import renew_grants
 
 TENURES = [Tenure(low, low, "u-1", 1) for low in range(10)]
 
 
-class TestRenewRound(testtools.TestCase):
+class TestRenewGrants(testtools.TestCase):
     """Every range is renewed in every round, whatever becomes of others."""
 
     def renew(self, grant):
@@ -22,7 +22,7 @@
             self.counts[tenure.low] += 1
             return grant(tenure)
 
-        return renew_round(TENURES, count)
+        return renew_grants(TENURES, count)
 
     def test_unanswered_order_does_not_starve_the_others(self):
         # The upstream leaves one grant in ten unanswered. Ending the round
--- a/tests/daemons/test_storetask.py
+++ b/tests/daemons/test_storetask.py
@@ -64,7 +64,7 @@
         pass
 
 
-class FakeOwner(StoreListener):
+class FakeListener(StoreListener):
     def __init__(self):
         self.taken = []
 
@@ -85,12 +85,12 @@
     def test_first_write_of_an_empty_store_is_noticed(self):
         # Daemons were started before the operators put their first text in
         # force. It had revision 1, and no daemon ever learnt of it.
-        store, owner = FakeStore(), FakeOwner()
-        task = StoreTask(store, KEY, 1.0, owner)
+        store, listener = FakeStore(), FakeListener()
+        task = StoreTask(store, KEY, 1.0, listener)
         task.watch_once()
         store.model.swap("configuration", b"", 0)
         task.watch_once()
-        self.assertEqual(["configuration"], owner.taken)
+        self.assertEqual(["configuration"], listener.taken)
 
 
 class SwapTest(testtools.TestCase):
--- a/tests/daemons/test_storewatcher.py
+++ b/tests/daemons/test_storewatcher.py
@@ -9,14 +9,14 @@
 from sedgetide.core.errors import HistoryLost
 from sedgetide.core.errors import Step
 from sedgetide.daemons._deployment import DeploymentState
-from sedgetide.daemons._storewatcher import choose_pause
+from sedgetide.daemons._storewatcher import choose_watch_delay
 from sedgetide.daemons._storewatcher import StoreWatcher
 from sedgetide.testing.leasestore import LeaseStoreModel
 from tests.daemons.test_election import FakeCatalogue
 from tests.daemons.test_election import ModelStore
 
 
-class TestChoosePause(testtools.TestCase):
+class TestChooseWatchDelay(testtools.TestCase):
     """The leader is lost, and sixty hosts watch the store themselves.
 
     Upstreams register and warm up, thirty events a second. With a call for
@@ -25,14 +25,14 @@
     """
 
     def test_host_gathers_what_comes_in_quick_succession(self):
-        calls = 1.0 / choose_pause(leading=False, news=1)
+        calls = 1.0 / choose_watch_delay(leading=False, news=1)
         self.assertLess(60 * calls, 600)
 
     def test_nothing_is_put_off_where_there_is_no_news(self):
-        self.assertEqual(0.0, choose_pause(leading=False, news=0))
+        self.assertEqual(0.0, choose_watch_delay(leading=False, news=0))
 
     def test_leader_acts_at_once(self):
-        self.assertEqual(0.0, choose_pause(leading=True, news=5))
+        self.assertEqual(0.0, choose_watch_delay(leading=True, news=5))
 
 
 class LosingStore(ModelStore):
@@ -53,18 +53,18 @@
         )
 
 
-class TestFollower(testtools.TestCase):
+class TestStoreWatcher(testtools.TestCase):
     """What a host asks of the store again and again."""
 
     def test_history_that_stays_lost_is_asked_for_at_intervals(self):
         # Guards against sixty whole listings a second, of each host.
         store = LosingStore(LeaseStoreModel())
         deployment = DeploymentState(FakeCatalogue())
-        follower = StoreWatcher(
+        watcher = StoreWatcher(
             store, "", deployment, lambda: False, lambda: True
         )
         with contextlib.ExitStack() as stack:
-            follower.start(stack)
+            watcher.start(stack)
             gevent.sleep(0.6)
         self.assertGreaterEqual(store.listed, 2)
         self.assertLess(store.listed, 6)
