--- a/sedgetide/daemons/_deployment.py
+++ b/sedgetide/daemons/_deployment.py
@@ -1,4 +1,4 @@
-"""What a host knows of the deployment, as the store last told it."""
+"""State of the deployment as a host has read it from the store."""
 
 from typing import Any
 
@@ -46,35 +46,38 @@
 
 
 class KnownTable(msgspec.Struct, frozen=True):
-    """Owners of a service's keys, with the record's position."""
+    """Table of owners of a service's keys, with the record's position."""
 
     table: RangeTable
     position: Position
 
 
 class KnownLeader(msgspec.Struct, frozen=True):
-    """The leader's record with its position."""
+    """Record of the leader, with its position in the store's history."""
 
     record: LeaderRecord
     position: Position
 
 
 class KnownQuarantine(msgspec.Struct, frozen=True):
-    """Requests in quarantine by the store, with the record's position."""
+    """Record of quarantined requests, with its position."""
 
     record: QuarantineRecord = QuarantineRecord()
     position: Position = NO_POSITION
 
 
 class ColdTolerance(msgspec.Struct, frozen=True):
-    """What a deployment grants beyond a cold upstream's rate.
+    """Allowed excess over the request rate of a cold upstream.
+
+    An upstream is cold while it warms up after its start or after an
+    evacuation.
 
     Parameters
     ----------
     overrun : float
-        Factor of the rate.
+        Factor by which the rate is multiplied.
     slack : float
-        Requests besides.
+        Number of requests added to the product.
     """
 
     overrun: float = 1.0
@@ -82,16 +85,23 @@
 
 
 class DeploymentState:
-    """Policy, directory, owners and leader; never goes back in position.
+    """Policy, upstream directory, tables of owners and current leader.
+
+    Updates that are older than the known version of an item are ignored, so
+    the state never goes back to an earlier position.
+
+    The store's history is divided into eras: a new *era* begins each time
+    the store is restored from a backup, after which its revisions are
+    assigned again. Positions are ordered by era first.
 
     Parameters
     ----------
-    catalogue : RegistryDialect
-        Reads what others write.
+    registry : RegistryDialect
+        Decodes items that upstreams and operators write.
     evacuations : Evacuations or None
-        Data centres that get no new work, none yet.
+        Evacuated data centres; none are known yet if None.
     cold_terms : ColdTolerance or None
-        Bound of what cold upstreams are sent; their rate alone when None.
+        Allowed excess over the rate of cold upstreams; none if None.
     """
 
     def __init__(
@@ -126,14 +136,14 @@
 
     @property
     def has_listed_era(self) -> bool:
-        """Whether the store has been listed since it came back last."""
+        """Whether the store has been listed since it was last restored."""
         return self.as_of != NO_POSITION and self.as_of.era >= self._era
 
     def note_era(self, era: Era, now: float) -> None:
-        """Take in that the store has come back from an older copy.
+        """Begin an era after the store was restored from a backup.
 
-        What stands under the records of before is no longer true of it;
-        owners stay known, as the best guess of where requests go.
+        Records of the former era aren't valid any more. The tables of owners
+        are kept, as the best available information for routing requests.
         """
         self._begin_era(era, now)
         self.directory.begin_era(now)
@@ -148,22 +158,22 @@
             self._era_since = now
 
     def find_reregistration_end(self) -> float:
-        """Return when all that live have registered since the last return."""
+        """Return when all live upstreams have registered in this era."""
         return self._era_since + RETURN_GRACE
 
     def update_host_count(self, hosts: int) -> None:
-        """Take in how many hosts there are.
+        """Update the number of hosts to the largest one ever reported.
 
-        The largest number ever heard stays: a leader that is cut off from
-        some counts fewer, and they go on all the same.
+        A leader that is partitioned from some hosts counts fewer, although
+        those keep running.
         """
         self.hosts = max(self.hosts or 0, hosts)
 
     def set_lenders(self, named: LenderList) -> None:
-        """Take in who lends places, as the leader says.
+        """Set the hosts that lend places at upstreams, named by the leader.
 
-        A leader that is lost leaves its list in force: hosts do not ask
-        lenders that they do not hear.
+        The list stays valid after the leader is lost, as hosts don't ask
+        lenders that don't respond.
         """
         if named == self.lenders:
             return
@@ -175,12 +185,12 @@
         )
 
     def record_sync(self, as_of: Position, heard_at: float) -> None:
-        """Take in that all is known up to a position, and since when."""
+        """Record that all items up to a position were known at a time."""
         self.as_of = max(self.as_of, as_of)
         self.heard_at = max(self.heard_at, heard_at)
 
     def apply_listing(self, listing: Listing, now: float) -> None:
-        """Take in everything that the store holds."""
+        """Apply a complete listing of the store."""
         self._begin_era(listing.position.era, now)
         from_backup = listing.position.era > self.as_of.era and bool(
             self._items
@@ -201,16 +211,20 @@
     def apply_items(
         self, items: list[Item], now: float, from_backup: bool = False
     ) -> None:
-        """Take in new versions; older ones than known change nothing.
+        """Apply items, except those older than the known versions.
 
         Parameters
         ----------
-        copied : bool
-            Whether a copy shows them, from which the store has come back.
-            What operators and upstreams wrote since is written again
-            within seconds.
+        items : list of Item
+            New versions; a removed item has no value.
+        now : float
+            Own clock.
+        from_backup : bool
+            Whether the items were listed right after the store was restored
+            from a backup. Operators and upstreams write again within seconds
+            what the backup lacks.
         """
-        taken = False
+        changed = False
         for item in items:
             if item.position.era < self.as_of.era:
                 continue
@@ -219,13 +233,13 @@
                 continue
             self._items[item.key] = item
             self._apply_item(item, now, from_backup)
-            taken = True
-        if taken:
+            changed = True
+        if changed:
             self._compact_removed()
             self.changes.notify_all()
 
     def _compact_removed(self) -> None:
-        """Bound what is kept of keys that are gone."""
+        """Limit the number of removed items that are remembered."""
         removed = [each for each in self._items.values() if each.value is None]
         if len(removed) <= _MAX_REMOVED:
             return
@@ -235,13 +249,17 @@
             del self._items[item.key]
 
     def find_item(self, key: str) -> Item | None:
-        """Return the newest version of an item that is known."""
+        """Return the newest known version of an item."""
         return self._items.get(key)
 
     def list_newer(self, position: Position) -> list[Item] | None:
-        """Return what changed after a position; None when not all is known.
+        """Return the items changed after a position.
 
-        What another era has brought about is not known one by one.
+        Returns
+        -------
+        list of Item or None
+            None if the position is of another era, or if removals after it
+            have been forgotten.
         """
         if position < self._compacted_to or position.era != self.as_of.era:
             return None
@@ -250,7 +268,7 @@
         ]
 
     def list_present(self) -> list[Item]:
-        """Return everything that the store holds, as far as is known."""
+        """Return all known items that exist in the store."""
         return [
             item for item in self._items.values() if item.value is not None
         ]
@@ -258,11 +276,11 @@
     def _apply_item(self, item: Item, now: float, from_backup: bool) -> None:
         key = item.key
         try:
-            own = parse_key(key)
-            if own is None:
+            record_key = parse_key(key)
+            if record_key is None:
                 self._apply_registry_item(key, item.value, now, from_backup)
             else:
-                self._apply_record(own, item.value, item.position, now)
+                self._apply_record(record_key, item.value, item.position, now)
         except UnreadableEntry as error:
             self.directory.mark_unreadable(error.upstream, now)
             log_event(Event.ENTRY_REFUSED, key=key, problem=error.detail[:200])
@@ -271,22 +289,22 @@
 
     def _apply_record(
         self,
-        name: RecordKey,
+        key: RecordKey,
         value: bytes | None,
         position: Position,
         now: float,
     ) -> None:
-        """Take in a record of the hosts; one of an earlier era is a hint."""
-        current = name.era == position.era
-        written_at = Position(name.era, position.revision)
-        if name.is_leader and current:
+        """Apply a record of the hosts; one of an earlier era is a hint."""
+        current = key.era == position.era
+        written_at = Position(key.era, position.revision)
+        if key.is_leader and current:
             self._apply_leader(value, written_at)
-        elif name.is_quarantine:
+        elif key.is_quarantine:
             self._apply_quarantine(value, written_at, current, now)
-        elif name.service is not None and value is not None:
-            # Owners are never removed; what is known stays the best guess.
+        elif key.service is not None and value is not None:
+            # Tables aren't removed; the known one is the best information.
             table = decode_ranges(value)
-            self.update_table(name.service, table, written_at, now)
+            self.update_table(key.service, table, written_at, now)
 
     def _apply_leader(self, value: bytes | None, position: Position) -> None:
         if value is None:
@@ -318,7 +336,7 @@
         position: Position,
         now: float,
     ) -> None:
-        """Take in owners, unless newer ones are known."""
+        """Update a service's table of owners, unless a newer one is known."""
         known = self.tables.get(service)
         if known is not None and known.position >= position:
             return
@@ -336,10 +354,10 @@
     def complete_moves(
         self, service: ServiceName, moved: list[Tenure]
     ) -> None:
-        """Take in that moves have ended, before the record says so.
+        """Apply completed moves before the record in the store shows them.
 
-        A move is known by its fence, so a late word of it changes nothing
-        about a range that has moved on.
+        A move is identified by its fence, so a late message doesn't affect a
+        range that has moved again since.
         """
         known = self.tables.get(service)
         if known is None:
@@ -369,11 +387,11 @@
             self._apply_policy(entry)
 
     def apply_pending_evacuations(self, now: float) -> None:
-        """Take in what a copy shows and nobody has written again since.
+        """Apply evacuation requests of a backup that weren't written again.
 
-        Operators' last wishes hold until then: an evacuation that the copy
-        does not know of would end for a moment, and one that was taken back
-        would begin again.
+        Until all writers have had time to do so, the evacuations known
+        before the restore stay in force. Otherwise one missing in the
+        backup would be interrupted, and a cancelled one would start again.
         """
         if self._pending_evacuations and now >= self.find_reregistration_end():
             pending, self._pending_evacuations = self._pending_evacuations, {}
@@ -400,12 +418,13 @@
     def find_cold_rate(
         self, upstream: RegisteredUpstream, now: float
     ) -> float | None:
-        """Return what a cold upstream is made for, in requests a second.
+        """Return the request rate of a cold upstream.
 
         Returns
         -------
         float or None
-            None when it is warm, or bears the same when it is cold.
+            Requests a second; None if the upstream is warm, or if its
+            service has no limit for cold upstreams.
         """
         if self.policy is None:
             return None
@@ -423,13 +442,16 @@
         Returns
         -------
         int or None
-            None when it is warm, or bears the same when it is cold.
+            None if the upstream is warm, or if its service has no limit for
+            cold upstreams.
         """
         rate = self.find_cold_rate(upstream, now)
         if rate is None:
             return None
-        terms = self._cold_tolerance
-        return compute_cold_send_limit(rate, terms.overrun, terms.slack)
+        tolerance = self._cold_tolerance
+        return compute_cold_send_limit(
+            rate, tolerance.overrun, tolerance.slack
+        )
 
     def _log_entry_change(self, entry: RegisteredUpstream) -> None:
         known = self.directory.find(entry.name)
@@ -444,7 +466,7 @@
             )
 
     def note_leaving(self, upstream: IncarnationName) -> None:
-        """Take in an upstream's own word that it is about to end."""
+        """Record that an upstream announced its own shutdown."""
         if self.directory.note_leaving(upstream):
             log_event(Event.LEAVING, upstream=upstream)
             self.changes.notify_all()
@@ -462,7 +484,7 @@
         )
 
     def find_known_since(self, service: ServiceName, tenure: Tenure) -> float:
-        """Return since when each leader knows of a move."""
+        """Return since when every leader certainly knows of a move."""
         observations = self._move_observations.get(service)
         if observations is None:
             return float("inf")
@@ -471,7 +493,7 @@
     def find_move_age(
         self, service: ServiceName, key: Key, now: float
     ) -> float:
-        """Return for how many seconds a key has been on its way."""
+        """Return for how many seconds a key's range has been moving."""
         table = self.find_table(service)
         observations = self._move_observations.get(service)
         tenure = None if table is None else table.find(key)
@@ -483,14 +505,14 @@
     def find_table_in_era(
         self, service: ServiceName, era: Era
     ) -> RangeTable | None:
-        """Return the owners as they were written in an era, or None."""
+        """Return the table of owners written in an era, or None."""
         known = self.tables.get(service)
         if known is None or known.position.era != era:
             return None
         return known.table
 
     def find_table(self, service: ServiceName) -> RangeTable | None:
-        """Return the owners of a service's keys, as known last."""
+        """Return a service's last known table of owners."""
         known = self.tables.get(service)
         return None if known is None else known.table
 
@@ -504,7 +526,7 @@
         )
 
     def dump_state(self) -> dict[str, Any]:
-        """Return the state for the dump."""
+        """Return the state for the admin endpoint."""
         return {
             "policy": None if self.policy is None else self.policy.version,
             "leader": None
@@ -520,7 +542,7 @@
         }
 
     def _describe_pushback(self, now: float) -> dict[str, Any]:
-        """Return what upstreams ask of this host, for the state."""
+        """Return the limits and backoffs that upstreams asked for."""
         backoffs = self.backoffs.list_active(now)
         return {
             "limits": self.limits.list_rates(),
--- a/sedgetide/daemons/_election.py
+++ b/sedgetide/daemons/_election.py
@@ -121,11 +121,11 @@
         if leader is None or self._leadership.term != NO_POSITION:
             return False
         record = leader.record
-        same_place = (record.host, record.link) == (
+        same_address = (record.host, record.link) == (
             self._record.host,
             self._record.link,
         )
-        return same_place and record.incarnation != self._record.incarnation
+        return same_address and record.incarnation != self._record.incarnation
 
     def _try_to_lead(self, now: float) -> None:
         self._next_try_at = now + self._random.uniform(0.5, 1.0)
@@ -160,7 +160,7 @@
             self._store.end_lease(lease)
 
     def _verify(self) -> None:
-        """Renew the lease and read the own record.
+        """Renew the lease and read this host's record.
 
         Only the read proves leadership: the store may remove the record and
         still renew the lease.
--- a/sedgetide/daemons/_evacuationcoordinator.py
+++ b/sedgetide/daemons/_evacuationcoordinator.py
@@ -1,4 +1,4 @@
-"""What the leader does for data centres that operators want emptied."""
+"""Evacuation of data centres, coordinated by the leader."""
 
 from sedgetide.core.identifiers import DataCentre
 from sedgetide.core.identifiers import IncarnationName
@@ -11,12 +11,15 @@
 
 
 class EvacuationCoordinator:
-    """Paces evacuations, and says when a data centre is empty.
+    """Limits the pace of evacuations and logs when they are complete.
+
+    An evacuation moves all ranges out of a data centre at the request of
+    operators.
 
     Parameters
     ----------
-    knowledge : DeploymentState
-        Wishes of the operators, and owners.
+    deployment : DeploymentState
+        Requested evacuations and tables of owners.
     """
 
     def __init__(self, deployment: DeploymentState) -> None:
@@ -26,7 +29,7 @@
         self._empty: set[DataCentre] = set()
 
     def list_owners(self, table: RangeTable) -> set[IncarnationName]:
-        """Return the owners that have to give up all they own."""
+        """Return the owners whose ranges all have to move."""
         directory = self._deployment.directory
         if not directory.evacuations.list_evacuating():
             return set()
@@ -40,7 +43,19 @@
         owners: set[IncarnationName],
         now: float,
     ) -> int:
-        """Return how many ranges of evacuated owners may begin to move."""
+        """Return how many more ranges may start to move off their owners.
+
+        Parameters
+        ----------
+        service : ServiceName
+            Service whose ranges move.
+        table : RangeTable
+            Table of its owners.
+        owners : set of IncarnationName
+            Evacuated owners.
+        now : float
+            Own clock.
+        """
         left = sum(
             1
             for each in table.tenures
@@ -54,7 +69,7 @@
         return pacer.allow(left, serving, now)
 
     def run_periodic(self, now: float) -> None:
-        """Tell once of each evacuated data centre that it is empty."""
+        """Log once for each evacuated data centre when it owns no keys."""
         asked = self._deployment.directory.evacuations.list_evacuating()
         self._empty.intersection_update(asked)
         for name in list(self._requested_since):
--- a/sedgetide/daemons/_feed.py
+++ b/sedgetide/daemons/_feed.py
@@ -1,10 +1,10 @@
-"""What the store told the leader, passed on to the hosts that report to it.
+"""Feed of store changes from the leader to the hosts that report to it.
 
-A watch of each host costs a call of the store for each event and host. So
-hosts that hear from the leader leave theirs out, and begin it again as soon
-as they have not heard for a second. The feed carries versions, never
-beliefs: whoever sends it, a host can not be led back, neither within an era
-of the store nor to an earlier one.
+If each host watched the store, each event would cost a call for each host.
+Hosts that are fed by the leader therefore don't watch, and start again as soon
+as they haven't received a message for a second. The feed consists of versioned
+items only. Whoever sends it, it can't take a host back to an older version,
+neither within an era of the store nor to an earlier one.
 """
 
 from collections.abc import Callable
@@ -25,12 +25,14 @@
 
 FEED_TIMEOUT = 1.0
 _SUBSCRIBER_TIMEOUT = 3.0
-# Older knowledge is no better than what the host could ask for itself.
+# Seconds; hosts don't rely on a leader whose state is older than this, as they
+# can get state at least as recent from the store themselves.
 _MAX_AGE = 4.0
 FEED_ENDED_AGE = 1e9
-# One copy for each of many hosts would keep the leader's link busy.
+# Sending a larger item to each of many hosts would saturate the leader's link.
 _LARGE_ITEM_BYTES = 32 * 1024
-# Who has not read one from the store by then is turned away there.
+# Seconds; a host that hasn't read an item from the store within this time is
+# assumed to be refused by the store.
 _STORE_READ_TIME = 1.0
 _LARGE_ITEM_INTERVAL = 0.2
 
@@ -41,22 +43,22 @@
 
 
 def _has_large_item(items: list[Item]) -> bool:
-    """Tell whether items are too large to be sent to every host.
+    """Return whether any item is too large to be sent to every host.
 
-    A large policy for each of ninety hosts keeps the leader's link busy
-    for seconds, and grants and news wait behind it. The store has a link
-    for that, and each host reads it there once.
+    Sending a large policy to ninety hosts would saturate the leader's link
+    for seconds and delay grants and other changes. Each host can read it
+    once from the store instead, whose link has the capacity for that.
     """
     return any(len(item.value or b"") > _LARGE_ITEM_BYTES for item in items)
 
 
 class FeedPublisher:
-    """The leader's side.
+    """Leader's side of the feed: sends changes to the other hosts.
 
     Parameters
     ----------
-    knowledge : DeploymentState
-        What is passed on.
+    deployment : DeploymentState
+        State to publish.
     send : callable
         Sends a message to a host.
     """
@@ -77,17 +79,18 @@
     def note_report(
         self, link: LinkAddress, position: Position, now: float
     ) -> None:
-        """Take in how far a host is, and tell it what is newer."""
+        """Record a host's position and send it everything newer."""
         self._subscribers[link] = _Subscriber(now, position)
         self._update_subscriber(link, self._subscribers[link], now)
 
     def announce_era(
         self, link: LinkAddress, position: Position, now: float
     ) -> None:
-        """Tell a host that reports to a former leader of the era it missed.
+        """Send the state of a new era to a host that hasn't listed the store.
 
-        The store turns it away, else it would have listed it by then; it
-        learns from nobody else who leads now.
+        The host still reports to this former leader. If it hasn't listed the
+        store in time, the store refuses it, and it can't learn of the new
+        leader from anyone else.
         """
         if position.era >= self._deployment.as_of.era:
             self._behind_since.pop(link, None)
@@ -99,7 +102,7 @@
             self._send_feed(link, subscriber, items, [], now)
 
     def publish(self, now: float) -> None:
-        """Tell all hosts what has come since they were told last."""
+        """Send all hosts the changes since their last message."""
         for link, subscriber in list(self._subscribers.items()):
             if now - subscriber.heard_at > _SUBSCRIBER_TIMEOUT:
                 del self._subscribers[link]
@@ -118,7 +121,7 @@
             return
         items = self._deployment.list_newer(known)
         if items is None:
-            # It is too far behind; without the feed it lists the store.
+            # The host is too far behind: without a feed it lists the store.
             return
         if _has_large_item(items) and not self._may_send_large(link, now):
             return
@@ -128,7 +131,7 @@
     def _send_full_state(
         self, link: LinkAddress, subscriber: _Subscriber, now: float
     ) -> None:
-        """Tell a host that knows an earlier era all there is in this one."""
+        """Send everything in this era to a host of an earlier one."""
         if self._may_send_large(link, now):
             subscriber.position = NO_POSITION
             items = self._deployment.list_present()
@@ -161,12 +164,11 @@
         self._referred_at.pop(link, None)
 
     def _may_send_large(self, link: LinkAddress, now: float) -> bool:
-        """Tell whether a host gets a large item from here after all.
+        """Return whether to send a large item to a host.
 
-        It is sent to the store first. A host that is still behind some
-        time later can not read there: the store turns it away, and without
-        the large item it would get no other news either. Those get it one
-        after the other.
+        The host is referred to the store first. If it is still behind some
+        time later, the store refuses it, and without the large item it would
+        get no other changes either. Such hosts get the item one at a time.
         """
         referred_at = self._referred_at.setdefault(link, now)
         if referred_at == now:
@@ -183,7 +185,7 @@
     def _split_patches(
         self, items: list[Item], known: Position
     ) -> tuple[list[Item], list[Patch]]:
-        """Return what is sent whole, and what as a patch."""
+        """Return the items to send whole, and the patches for the others."""
         whole = []
         patches = []
         for item in items:
@@ -196,7 +198,7 @@
         return whole, patches
 
     def _count_hosts(self) -> int:
-        """Return how many hosts there are, and remember it."""
+        """Return the number of hosts, and update the deployment state."""
         hosts = len(self._subscribers) + 1
         self._deployment.update_host_count(hosts)
         return hosts
@@ -206,7 +208,7 @@
         self._send(link, StoreFeed(as_of, as_of, FEED_ENDED_AGE, 0.0, []))
 
     def list_links(self, now: float) -> list[LinkAddress]:
-        """Return the hosts that reported lately."""
+        """Return the addresses of hosts that reported recently."""
         return [
             link
             for link, subscriber in self._subscribers.items()
@@ -214,7 +216,7 @@
         ]
 
     def end(self) -> None:
-        """Have all hosts follow the store themselves again."""
+        """End the feed, so that all hosts watch the store themselves."""
         for link in self._subscribers:
             self._refer_to_store(link)
         self._subscribers.clear()
@@ -222,14 +224,14 @@
 
 
 class FeedReceiver:
-    """A host's side.
+    """Host's side of the feed: applies the leader's messages.
 
     Parameters
     ----------
-    knowledge : DeploymentState
-        What is kept up to date.
+    deployment : DeploymentState
+        State to update.
     eras : EraTracker
-        Told of eras that the leader has heard of.
+        Notified of eras that the leader has seen.
     """
 
     def __init__(self, deployment: DeploymentState, eras: EraTracker) -> None:
@@ -238,7 +240,7 @@
         self._fresh_at = float("-inf")
 
     def handle_feed(self, message: StoreFeed, now: float) -> None:
-        """Take in what the leader passed on."""
+        """Apply a message of the leader, if it continues the known state."""
         if message.hosts:
             self._deployment.update_host_count(message.hosts)
         if message.age > _MAX_AGE:
@@ -249,7 +251,7 @@
         self._eras.note(message.as_of.era)
         patched = self._apply_patches(message.patches)
         if patched is None:
-            # It has another version than the leader thinks: ask the store.
+            # The leader assumed another version here: watch the store.
             self._fresh_at = float("-inf")
             return
         if message.distrust_seconds > 0:
@@ -266,10 +268,10 @@
         self._fresh_at = now
 
     def _is_contiguous(self, message: StoreFeed) -> bool:
-        """Tell whether nothing is missing between a message and before.
+        """Return whether a message continues the known state without a gap.
 
-        One may have been lost, and a leader may not have heard yet that its
-        era is over. Of a later era all that there is has to be told first.
+        A message may have been lost, and a leader may not know yet that its
+        era has ended. The first message of a later era must be complete.
         """
         known = self._deployment.as_of
         if message.as_of.era != known.era:
@@ -278,7 +280,7 @@
         return message.since <= known
 
     def _apply_patches(self, patches: list[Patch]) -> list[Item] | None:
-        """Return the patched items; None when one does not fit."""
+        """Return the patched items; None if a base version is unknown."""
         patched = []
         for patch in patches:
             base = self._deployment.find_item(patch.key)
@@ -291,5 +293,5 @@
         return patched
 
     def is_fresh(self, now: float) -> bool:
-        """Tell whether the own watch can be left out."""
+        """Return whether the feed replaces this host's watch of the store."""
         return now - self._fresh_at < FEED_TIMEOUT
--- a/sedgetide/daemons/_instrumentedstore.py
+++ b/sedgetide/daemons/_instrumentedstore.py
@@ -1,4 +1,4 @@
-"""A store whose calls are counted."""
+"""Store client that counts calls for the metrics."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -29,12 +29,12 @@
 
 
 class InstrumentedStore(LeaseStore):
-    """Passes every call on and counts it by what came of it.
+    """Forwards all calls to a store client and counts them by outcome.
 
     Parameters
     ----------
     store : LeaseStore
-        Who answers.
+        Client that makes the calls.
     """
 
     def __init__(self, store: LeaseStore) -> None:
--- a/sedgetide/daemons/_itempatches.py
+++ b/sedgetide/daemons/_itempatches.py
@@ -1,8 +1,8 @@
-"""Newer versions of an item as patches of the version that a host has.
+"""Patches from the version of an item that a host has to a newer one.
 
-The owners of a large service are some kilobytes, and a change touches a few
-rows. Sent whole to ninety hosts, each change would be more than all
-requests of that second take between data centres.
+The table of owners of a large service takes some kilobytes, and a change
+affects a few rows. Sent whole to ninety hosts, each change would use more
+bandwidth between data centres than all requests of the same second.
 """
 
 from collections.abc import Sequence
@@ -12,24 +12,24 @@
 from sedgetide.coding.messages import Patch
 from sedgetide.core.history import Position
 
-# Shorter values gain less than a patch costs.
+# Bytes; for shorter values a patch costs more than it saves.
 _MIN_SIZE = 1024
-# What deflate looks back on; a longer base would be forgotten half.
+# Bytes; the window of deflate, which can't refer back any further.
 _MAX_SIZE = 32 * 1024
 _MAX_VERSIONS = 4
 _COMPRESSION_LEVEL = 6
 
 
 def _find_base(versions: Sequence[Item], known: Position) -> Item | None:
-    """Return the version that a host has which knows up to a position."""
+    """Return the version known to a host that is synced to a position."""
     older = [each for each in versions if each.position <= known]
     return older[-1] if older else None
 
 
 class PatchCache:
-    """The last versions of items, and the patches between them.
+    """Recent versions of items, and the patches between them.
 
-    A patch is made once, however many hosts get it.
+    Each patch is computed once, however many hosts receive it.
     """
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
         self._patches: dict[tuple[str, Position, Position], Patch] = {}
 
     def note(self, item: Item) -> None:
-        """Remember a version, if patches of it are worth while."""
+        """Store a version, if its size makes patches worthwhile."""
         size = len(item.value or b"")
         if not _MIN_SIZE <= size <= _MAX_SIZE:
             self._versions.pop(item.key, None)
@@ -56,14 +56,14 @@
         }
 
     def find(self, item: Item, known: Position) -> Patch | None:
-        """Return a patch to an item for a host; None to send it whole.
+        """Return a patch to an item; None if it has to be sent whole.
 
         Parameters
         ----------
         item : Item
-            Newest version, noted before.
+            Newest version, which has been stored by :meth:`note`.
         known : Position
-            Up to which the host knows the store.
+            Position up to which the host is synced.
         """
         base = _find_base(self._versions.get(item.key, ()), known)
         if base is None or base.position == item.position:
@@ -77,19 +77,19 @@
 
 
 def make_patch(base: Item, item: Item) -> Patch:
-    """Return what turns one version of an item into another."""
+    """Return a patch from one version of an item to another."""
     deflate = zlib.compressobj(_COMPRESSION_LEVEL, zdict=base.value)
     data = deflate.compress(item.value) + deflate.flush()
     return Patch(item.key, item.position, base.position, data)
 
 
 def apply_patch(base: Item | None, patch: Patch) -> Item | None:
-    """Return the version that a patch leads to.
+    """Return the result of a patch.
 
     Returns
     -------
     Item or None
-        None when the patch is of another version than the base.
+        None if the patch was made for another base version.
     """
     if base is None or base.position != patch.base or base.value is None:
         return None
--- a/sedgetide/daemons/_leader.py
+++ b/sedgetide/daemons/_leader.py
@@ -80,7 +80,7 @@
 
     A leader's *term* lasts from the write of its record to its end. Tables
     of owners are written in a transaction that fails unless the record in
-    the store is still that of the own term. Orders to upstreams are sent
+    the store is still that of this term. Orders to upstreams are sent
     only after the store has acknowledged the table, so the next leader
     finds everything that may have been ordered in the store.
 
@@ -187,11 +187,11 @@
         self._load_tracker.note_upstreams(report.upstreams, now)
 
     def _update_lenders(
-        self, sender: LinkAddress, standing: HostStatus, now: float
+        self, sender: LinkAddress, status: HostStatus, now: float
     ) -> None:
-        self._lender_selector.note(sender, standing, now)
+        self._lender_selector.note(sender, status, now)
         lenders = self._lender_selector.lenders
-        if standing.lenders != lenders.version:
+        if status.lenders != lenders.version:
             self._send(sender, Lenders(lenders))
 
     @property
--- a/sedgetide/daemons/_loadreporter.py
+++ b/sedgetide/daemons/_loadreporter.py
@@ -1,4 +1,4 @@
-"""Load of the own requests, told to the leader."""
+"""Reports of the load of this host's requests to the leader."""
 
 import contextlib
 from typing import Protocol
@@ -31,11 +31,11 @@
 
 
 class LoadMeter:
-    """Counts work by key and how upstreams do, between two reports.
+    """Measures work by key and slowness of upstreams between two reports.
 
-    The work that a request asks for is what requests of its route usually
-    take at an upstream where nobody waits; the time that it takes itself
-    says more of the upstream.
+    The work of a request is estimated by the average service time of its
+    route at upstreams without a queue. The time that the request itself
+    takes says more about the upstream, and is used to estimate its slowness.
     """
 
     def __init__(self) -> None:
@@ -58,14 +58,15 @@
         seconds: float,
         load: UpstreamLoad | None,
     ) -> None:
-        """Take in the time of an answer."""
+        """Record the time of an answer."""
         service_time = self._service_times.get(route, _INITIAL_SERVICE_TIME)
         counters = self._upstreams.setdefault(upstream, _UpstreamCounters())
         counters.answers += 1
         if load is not None and load.waiting > 0:
-            # A slow upstream is the first to be full, and stays so: left
-            # out, its answers never show that it is slow, and it is given
-            # as many keys as the others.
+            # Answers of upstreams with a queue count towards slowness: a slow
+            # upstream is the first to have one and keeps it. Otherwise it
+            # would never be recognized as slow, and get as many keys as the
+            # others.
             in_queue = load.waiting / max(1, load.slots)
             counters.slowness += seconds / (1.0 + in_queue) / service_time
             return
@@ -76,16 +77,16 @@
         )
 
     def note_failure(self, upstream: IncarnationName) -> None:
-        """Count a request without a usable answer."""
+        """Count a request that got no usable answer."""
         self._upstreams.setdefault(upstream, _UpstreamCounters()).failures += 1
 
     def collect_report(self, position: Position) -> LoadReport:
-        """Return what was counted, and begin anew.
+        """Return a report of all counts and reset them.
 
         Parameters
         ----------
         position : Position
-            Up to which the store's items are known.
+            Position up to which this host is synced with the store.
         """
         keys = [
             KeyWork(service, key, round(seconds, 4))
@@ -107,27 +108,27 @@
 
 
 class ReportTransport(Protocol):
-    """Who gets the reports."""
+    """Sends reports to the current leader."""
 
     def find_leader_link(self) -> LinkAddress | None:
-        """Return where the leader takes reports; None when unknown."""
+        """Return the link address of the leader; None if unknown."""
 
     def find_position(self) -> Position:
-        """Return up to which the store's items are known."""
+        """Return the position up to which this host is synced."""
 
     def send_report(self, link: LinkAddress, report: LoadReport) -> None:
-        """Hand a report over."""
+        """Send a report to a link address."""
 
 
 class LoadReporter:
-    """Sends what was counted at short intervals.
+    """Sends load reports to the leader at short intervals.
 
     Parameters
     ----------
     meter : LoadMeter
-        What counts.
-    receiver : ReportTransport
-        Who gets it.
+        Source of the reports.
+    transport : ReportTransport
+        Sends them to the leader.
     """
 
     def __init__(self, meter: LoadMeter, transport: ReportTransport) -> None:
@@ -135,7 +136,7 @@
         self._transport = transport
 
     def start(self, stack: contextlib.ExitStack) -> None:
-        """Begin to send."""
+        """Start the task."""
         spawn_vital(self._loop, stack)
 
     def _loop(self) -> None:
--- a/sedgetide/daemons/_orderclient.py
+++ b/sedgetide/daemons/_orderclient.py
@@ -1,4 +1,4 @@
-"""Orders to upstreams: grants and releases over connections kept for them."""
+"""Client that sends grants and releases of key ranges to one upstream."""
 
 from collections.abc import Callable
 import enum
@@ -26,29 +26,30 @@
 _CONNECT_TIMEOUT = 0.5
 _RELEASE_TIMEOUT = 3.0
 _RESET_WAIT = 0.003
-# Seconds; a process takes longer to start.
+# Seconds; no upstream process restarts within this time.
 _MIN_RESTART_TIME = 0.1
 _OK = 200
 
 
 class OrderOutcome(enum.Enum):
-    """What became of an order.
+    """Outcome of an order.
 
     Attributes
     ----------
     DONE
-        The upstream obeyed.
+        The upstream carried out the order.
     FENCED
-        It has seen a higher fence.
+        The upstream rejected the order as it has seen a higher fencing
+        token.
     FOREIGN
-        Another upstream has the address; the one that was meant has ended.
+        Another upstream answered at the address; the addressee has ended.
     RESTARTED
-        Nothing has left this host: the upstream may have started again
-        since it took the keys, and must not get them at the same fence.
+        The order wasn't sent: the upstream may have restarted since it was
+        granted the keys, and must not get them again at the same fence.
     UNSENT
-        Nothing has left this host.
+        The order wasn't sent.
     UNKNOWN
-        It may have obeyed, or still may.
+        The upstream may have carried out the order, or may still do so.
     """
 
     DONE = "done"
@@ -60,16 +61,17 @@
 
 
 class OrderResult(msgspec.Struct, frozen=True):
-    """What became of an order.
+    """Result of an order.
 
     Parameters
     ----------
     taken : OrderOutcome
-        Whether it was obeyed.
+        Outcome of the order.
     handover : str
-        State that a release hands to the next owner.
+        State that the old owner returns with a release, to be passed to the
+        next owner with its grant.
     detail : str
-        What went wrong, for people.
+        Human-readable error message.
     """
 
     taken: OrderOutcome
@@ -78,28 +80,30 @@
 
 
 class OrderClient:
-    """Gives orders to one upstream.
+    """Sends orders to one upstream.
 
-    A full upstream resets new connections, so the connections are kept.
+    An upstream at its connection limit resets new connections, so
+    connections are kept open.
 
-    A restarted upstream answers under the same name and address, and knows
-    of no fence. Its entry in the registry comes up to a second later;
-    until then only the connections tell. ``session`` counts how often it
-    may have restarted: it refused a connection, or ended all that were
-    open. A process that ends closes its connections before its successor
-    takes one, so what a new connection leads to is known once it is open.
+    A restarted upstream answers under the same name and address, and has
+    lost its highest fencing token. Its registry entry is updated up to a
+    second later; until then a restart shows only in the connections.
+    ``session`` counts possible restarts: the upstream refused a connection,
+    or closed all that were open. A process that ends closes its connections
+    before its successor accepts one, so by the time a new connection is
+    open a restart before it has been detected.
 
     Parameters
     ----------
     upstream : UpstreamName
-        Which.
+        Name of the upstream.
     address : str
         ``IP:port``.
     dialect : OrderDialect
-        Form of the orders.
+        Encodes orders for the upstream.
     grant_timeout : float
-        Seconds after which an unanswered grant is taken back.
-    settling : float
+        Seconds after which an unanswered grant is aborted.
+    reset_wait : float
         Seconds to wait on a new connection for a reset.
     """
 
@@ -115,10 +119,11 @@
         self.address = address
         self._dialect = dialect
         self._grant_timeout = grant_timeout
-        # An upstream that is full, or gone behind something that accepts for
-        # it, resets a new connection. Seen before the send, the order has not
-        # left; after it, the upstream may hold the keys for a whole life
-        # more, and they stay dark for as long once it is known to be lost.
+        # An upstream that is at its connection limit, or lost behind a proxy
+        # that accepts for it, resets new connections. If the reset is seen
+        # before the send, the order certainly wasn't sent. After the send the
+        # upstream may hold the keys for a whole grant life, and they would be
+        # unavailable for that long once the upstream is lost.
         self._pool = ConnectionPool(address, _ANSWER_BYTES, reset_wait)
         self._in_use: set[Connection] = set()
         self._opened: weakref.WeakKeyDictionary[Connection, int] = (
@@ -127,7 +132,7 @@
         self.session = 0
 
     def connect(self) -> bool:
-        """Connect, unless a connection is kept; return whether one is open."""
+        """Ensure that a connection is open; return whether that succeeded."""
         try:
             connection = self._take()
         except UpstreamError:
@@ -142,13 +147,19 @@
         handover: str,
         prepare: Callable[[], float | None],
     ) -> OrderResult:
-        """Give keys.
+        """Grant keys to the upstream.
 
         Parameters
         ----------
+        keys : KeyRange
+            Keys to grant.
+        fence : Fence
+            Fencing token of the grant.
+        handover : str
+            State returned by the previous owner.
         prepare : callable
-            Called when the order can leave at once; returns its life, or
-            None when it may not be sent any more.
+            Called right before the send, with the connection open. Returns
+            the life of the grant, or None to cancel it.
         """
 
         def make_order() -> OrderRequest | None:
@@ -169,12 +180,17 @@
         fence: Fence,
         may_send: Callable[[], bool],
     ) -> OrderResult:
-        """Take keys back; answered when the work on them has ended.
+        """Release keys; the answer comes once requests for them are done.
 
         Parameters
         ----------
+        keys : KeyRange
+            Keys to release.
+        fence : Fence
+            Fencing token of the release.
         may_send : callable
-            Called when the order can leave at once; returns whether it may.
+            Called right before the send, with the connection open. Returns
+            whether the order may still be sent.
         """
 
         def make_order() -> OrderRequest | None:
@@ -219,20 +235,21 @@
             self._in_use.discard(connection)
 
     def _take(self) -> Connection:
-        """Return a connection, and note what it tells of a restart."""
+        """Return a connection and update the session count."""
         kept = self._pool.has_idle
         try:
             connection = self._pool.take(_CONNECT_TIMEOUT)
         except UpstreamError as error:
-            # One that was accepted and reset came to a full upstream.
+            # An accepted connection that is reset only shows that the
+            # upstream is at its connection limit.
             if kept or error.code is not ErrorCode.UPSTREAM_FULL:
                 self._note_closed()
             raise
         if connection not in self._opened:
             if kept:
                 self._note_closed()
-            # Another order may be on a connection that has ended meanwhile,
-            # and not know it yet.
+            # Another order may be about to use a connection that has been
+            # closed without its noticing.
             for other in self._in_use:
                 if other.ended:
                     self._note_closed(other)
@@ -240,17 +257,17 @@
         return connection
 
     def _note_closed(self, ended: Connection | None = None) -> None:
-        """Take in that the upstream ended a connection, or took none.
+        """Record that the upstream closed or refused a connection.
 
-        While another is open it is the same process as before.
+        As long as another connection is open, the process hasn't restarted.
 
         Parameters
         ----------
         ended : Connection or None
-            Which; None when it was not in use.
+            Closed connection; None when it was idle or never opened.
         """
         if ended is not None and self._opened.get(ended) != self.session:
-            # An end of a session that is known to be over.
+            # The restart that closed it has been counted.
             return
         self._pool.prune()
         alive = any(not each.ended for each in self._in_use - {ended})
@@ -258,19 +275,20 @@
             self.session += 1
 
     def _reconnect(self, ended: Connection, sent_at: float) -> None:
-        """Open a connection in place of one whose end was announced.
+        """Replace a connection that the upstream announced to close.
 
-        What listens when the next order is due may be another start. Within
-        a tenth of a second of the order it is the process that answered it:
-        none starts again in so short a time. The clock is read once the
-        connection is open, since this host may have been paused before.
+        Otherwise no open connection would show a restart before the next
+        order. A connection opened within a tenth of a second of the last
+        order leads to the same process, as none restarts that fast. The
+        clock is read after the connection is open, since this process may
+        have been paused before.
 
         Parameters
         ----------
         ended : Connection
-            The one that ends.
+            Connection that the upstream closes.
         sent_at : float
-            Own clock right before the order was sent on it.
+            Own clock right before the last order was sent on it.
         """
         if self._pool.has_idle:
             return
@@ -322,7 +340,7 @@
             return OrderResult(OrderOutcome.FENCED)
         if self._dialect.is_misdirected(answer.status):
             return OrderResult(OrderOutcome.FOREIGN)
-        # What else it says is no proof of anything.
+        # No other status proves whether the order was carried out.
         return OrderResult(
             OrderOutcome.UNKNOWN, detail=f"status {answer.status}"
         )
--- a/sedgetide/daemons/_orderexecutor.py
+++ b/sedgetide/daemons/_orderexecutor.py
@@ -1,4 +1,4 @@
-"""Orders of one term: grants renewed, ranges brought to their successors."""
+"""Sends the orders of one term: renewals of grants, and moves of ranges."""
 
 from collections.abc import Callable
 from collections.abc import Collection
@@ -28,22 +28,22 @@
 from sedgetide.runtime.signals import ChangeSignal
 
 _RETRY_DELAY = 0.2
-# A timer of no time at all would end the release before it is sent.
+# Seconds; a timeout of zero would cancel the release before it is sent.
 _MIN_RELEASE_TIMEOUT = 0.01
 _GRANT_ATTEMPTS = 3
-# Grants of two tables with 24 ranges an upstream, at 300 upstreams.
+# About the grants of two tables with 24 ranges for each of 300 upstreams.
 _MAX_SESSIONS = 16_000
 
 
 class OrderClients:
-    """Ways on which orders go, kept over all terms of a host.
+    """Order clients of all upstreams, kept across the terms of a host.
 
     Parameters
     ----------
     dialect : OrderDialect
-        Form of the orders.
+        Encodes orders for the upstreams.
     grant_timeout : float
-        Seconds after which an unanswered grant is taken back.
+        Seconds after which an unanswered grant is aborted.
     """
 
     def __init__(self, dialect: OrderDialect, grant_timeout: float) -> None:
@@ -54,7 +54,7 @@
         self._seen_at: dict[IncarnationName, float] = {}
 
     def update_entries(self, directory: UpstreamDirectory, now: float) -> None:
-        """Remember where upstreams are, also once they have left."""
+        """Store the current entries, kept also after upstreams have left."""
         for entry in directory.list_all():
             self._entries[entry.name] = entry
             self._seen_at[entry.name] = now
@@ -62,7 +62,7 @@
     def list_seen(
         self, service: ServiceName, since: float
     ) -> list[IncarnationName]:
-        """Return the upstreams of a service that were there at some time."""
+        """Return a service's upstreams last seen at or after a time."""
         return [
             name
             for name, seen_at in self._seen_at.items()
@@ -70,12 +70,12 @@
         ]
 
     def find_address(self, upstream: IncarnationName) -> str:
-        """Return where an upstream is or was; empty when unknown."""
+        """Return an upstream's last known address; empty when unknown."""
         entry = self._entries.get(upstream)
         return "" if entry is None else entry.address
 
     def find(self, upstream: IncarnationName) -> OrderClient | None:
-        """Return the way to an upstream, if its address is known."""
+        """Return the client of an upstream; None without an address."""
         client = self._clients.get(upstream)
         entry = self._entries.get(upstream)
         if client is None and entry is not None:
@@ -88,8 +88,8 @@
             self._clients[upstream] = client
         return client
 
-    def forget(self, known: Collection[IncarnationName]) -> None:
-        """Forget upstreams that are not among the known ones."""
+    def retain(self, known: Collection[IncarnationName]) -> None:
+        """Drop the state of upstreams that aren't among the known ones."""
         for name in list(self._entries):
             if name not in known:
                 del self._entries[name]
@@ -100,18 +100,23 @@
 
 
 class OrderExecutor:
-    """Gives the orders of one term, by the tables that are in force.
+    """Carries out the tables of owners during one term of the leader.
+
+    A grant lets an upstream serve a range for a limited time, its *hold*.
+    A task for each owner renews its grants. A task for each move releases
+    the range from its old owner, or waits until that owner's grant has
+    certainly expired, and then grants it to the successor.
 
     Parameters
     ----------
     term : Term
-        What may be ordered, and what must be waited for.
-    knowledge : DeploymentState
-        Owners, as the store acknowledged them.
-    lanes : OrderClients
-        Ways to upstreams.
+        Whether orders may be sent, and how long granted ranges may be held.
+    deployment : DeploymentState
+        Tables of owners that the store has acknowledged.
+    clients : OrderClients
+        Clients of the upstreams.
     durations : Durations
-        On which single ownership rests.
+        Timeouts that guarantee a single owner for each range.
     on_moved : callable
         Called when a range has its new owner.
     """
@@ -142,7 +147,7 @@
         return len(self._moves)
 
     def close(self) -> None:
-        """Give no more orders."""
+        """Cancel all renewals and moves."""
         for task in [*self._renewals.values(), *self._moves.values()]:
             task.kill(block=False)
         self._renewals.clear()
@@ -153,18 +158,18 @@
         self._renew_now.notify_all()
 
     def list_completed(self, service: ServiceName) -> set[Tenure]:
-        """Return moves that have ended and may not be written down yet."""
+        """Return completed moves that the table may not show yet."""
         return self._completed.get(service, set())
 
     def note_written(self, service: ServiceName, table: RangeTable) -> None:
-        """Forget ended moves that the record shows as ended."""
+        """Drop completed moves that the written table has applied."""
         ended = self.list_completed(service)
         self._completed[service] = ended.intersection(table.tenures)
         if len(self._sessions) > _MAX_SESSIONS:
             self._prune_sessions()
 
     def _prune_sessions(self) -> None:
-        """Forget grants of ranges that have moved on."""
+        """Drop sessions of grants that are in no current table."""
         current = set()
         for known in self._deployment.tables.values():
             for tenure in known.table.tenures:
@@ -174,11 +179,11 @@
             del self._sessions[grant]
 
     def pop_fenced(self, service: ServiceName) -> set[Tenure]:
-        """Return ranges whose fence was passed by, and forget them."""
+        """Return and clear the ranges that need a higher fence."""
         return self._fenced.pop(service, set())
 
     def reconcile(self, service: ServiceName, table: RangeTable) -> None:
-        """Begin what a table asks for, and end what it no longer does."""
+        """Start the tasks that a table requires and cancel the others."""
         moving = set(table.list_moving())
         for tenure in moving:
             move_key = (service, tenure)
@@ -201,7 +206,7 @@
                 )
 
     def _move(self, service: ServiceName, tenure: Tenure) -> None:
-        """Bring one range from its owner to its successor."""
+        """Move a range from its owner to its successor."""
         handover = self._stop_owner(service, tenure)
         if handover is None:
             return
@@ -213,19 +218,20 @@
             if taken is OrderOutcome.DONE:
                 break
             gevent.sleep(_RETRY_DELAY)
-        # Without its answer the successor owns it all the same: its
-        # renewals go on, and if it is gone the range moves on.
+        # The successor becomes the owner even without its answer: its grant
+        # is renewed, and if it is lost the range moves again.
         self._completed.setdefault(service, set()).add(tenure)
         MOVES.labels(service).inc()
         self._on_moved(service, tenure)
 
     def _stop_owner(self, service: ServiceName, tenure: Tenure) -> str | None:
-        """Make sure that the owner has stopped; return what it hands over.
+        """Wait until the owner has certainly stopped serving a range.
 
         Returns
         -------
         str or None
-            None when this host may give no more orders.
+            State handed over with the release, or an empty string; None when
+            this host may send no more orders.
         """
         began = read_clock()
         while True:
@@ -236,8 +242,8 @@
                 self._log_owner_stopped(service, tenure, "ended", now - began)
                 return ""
             end = self._find_hold_end(service, tenure)
-            # A release that is not answered must not outlast the hold: the
-            # keys would stay dark for the rest of its 0.7 s for nothing.
+            # Waiting for an unanswered release past the end of the hold
+            # would keep the keys unavailable for up to another 0.7 s.
             with gevent.Timeout(max(_MIN_RELEASE_TIMEOUT, end - now), False):
                 result = self._release(service, tenure)
                 if result is not None:
@@ -251,7 +257,7 @@
     def _release(
         self, service: ServiceName, tenure: Tenure
     ) -> OrderResult | None:
-        """Take a range back; None when nothing proves that it stopped."""
+        """Release a range; return None unless its owner has stopped."""
         client = self._clients.find(tenure.owner)
         if client is None:
             return None
@@ -288,7 +294,7 @@
     def _is_hold_over(
         self, service: ServiceName, tenure: Tenure, now: float
     ) -> bool:
-        """Tell whether the owner can not hold the range any longer."""
+        """Return whether the owner's hold of the range is over."""
         address = self._clients.find_address(tenure.owner)
         if self._deployment.directory.is_address_reused(tenure.owner, address):
             return True
@@ -296,7 +302,7 @@
         return self.term.has_ended(tenure.owner, tenure.keys, since, now)
 
     def _find_hold_end(self, service: ServiceName, tenure: Tenure) -> float:
-        """Return when the owner's hold of a range has certainly run out."""
+        """Return when the owner's hold of a range has certainly expired."""
         since = self._deployment.find_known_since(service, tenure)
         return self.term.find_hold_end(tenure.owner, tenure.keys, since)
 
@@ -316,12 +322,12 @@
 
         def prepare() -> float | None:
             nonlocal restarted
-            # Opening a connection takes up to half a second, and what was
-            # never sent is not waited for when the range moves on.
+            # Checked after connecting, which takes up to half a second: a
+            # move doesn't wait for grants that haven't been sent.
             if not self._is_current(service, tenure):
                 return None
-            # A restarted upstream has seen no fence and would take the keys
-            # under one at which its former start had them.
+            # A restarted upstream has seen no fence and would accept the keys
+            # at the one under which its former process had them.
             known = self._sessions.setdefault(granted, client.session)
             restarted = known != client.session
             if restarted:
@@ -340,12 +346,12 @@
                 self._deployment.directory.note_foreign(upstream, read_clock())
             return OrderOutcome.RESTARTED if restarted else result.taken
         finally:
-            # Answered or taken back: it arrives no later than now.
+            # It was answered or aborted, so it can't arrive after now.
             for grant in grants:
                 self.term.note_arrival(grant, read_clock())
 
     def _renew(self, service: ServiceName, owner: IncarnationName) -> None:
-        """Renew all that one upstream owns, again and again."""
+        """Renew the grants of one owner at intervals."""
         while True:
             table = self._find_table(service)
             owned = [] if table is None else table.list_owned(owner)
@@ -369,18 +375,19 @@
         return self._grant(service, tenure.owner, tenure, "")
 
     def _is_current(self, service: ServiceName, tenure: Tenure) -> bool:
-        """Tell whether the table still shows a range as it was.
+        """Return whether a tenure is unchanged in the current table.
 
-        A renewal must not follow the release of a part of its range, and
-        no order the move of its range to someone else.
+        A grant must not be renewed after a part of its range was released,
+        and no order may be sent after its range moved to another owner.
         """
         table = self._find_table(service)
         return table is not None and table.find(tenure.low) == tenure
 
     def _find_table(self, service: ServiceName) -> RangeTable | None:
-        """Return the owners, if they were written in the term's own era.
+        """Return the table if it was written in the era of this term.
 
-        A leader whose era is over would order by the table of the next one
-        on a proof that counts for nothing there.
+        After a restore of the store, a leader of the former era must not
+        act on a table of the new one: its proof of leadership is invalid
+        there.
         """
         return self._deployment.find_table_in_era(service, self.term.era)
--- a/sedgetide/daemons/_recordkeys.py
+++ b/sedgetide/daemons/_recordkeys.py
@@ -1,8 +1,9 @@
 """Keys of the hosts' own records in the store, one set for each era.
 
-After a return from a copy the records of before may stand there in any older
-state, and a write of before may still arrive. Under keys of their own, those
-of the new era can be taken for nothing else, nor changed by such a write.
+An era begins each time the store is restored from a backup. Records of
+earlier eras may then be there in an outdated state, and a write of an earlier
+era may still arrive. As each era has its own keys, such records can't be
+mistaken for those of the new era, and such writes can't change them.
 """
 
 import msgspec
@@ -19,14 +20,14 @@
 
 
 class RecordKey(msgspec.Struct, frozen=True):
-    """What a key of the hosts' own names.
+    """Parsed key of a record that the hosts write.
 
     Parameters
     ----------
     era : Era
-        In which the record is in force.
+        Era in which the record is valid.
     name : str
-        Which record.
+        Name of the record within the era.
     """
 
     era: Era
@@ -34,24 +35,24 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether it is the leader's."""
+        """Whether it is the record of the leader."""
         return self.name == _LEADER
 
     @property
     def is_quarantine(self) -> bool:
-        """Whether it is that of requests in quarantine."""
+        """Whether it is the record of quarantined requests."""
         return self.name == _QUARANTINE
 
     @property
     def service(self) -> ServiceName | None:
-        """Service whose owners it holds; None for any other record."""
+        """Service of a table of owners; None for any other record."""
         if not self.name.startswith(_RANGES):
             return None
         return ServiceName(self.name.removeprefix(_RANGES))
 
 
 def parse_key(key: str) -> RecordKey | None:
-    """Return what a key names; None for one of somebody else."""
+    """Parse a key; return None for one that the hosts don't write."""
     if not key.startswith(_PREFIX):
         return None
     name = key.removeprefix(_PREFIX)
@@ -70,20 +71,20 @@
 
 
 def make_leader_key(era: Era) -> str:
-    """Return the key of the leader's record."""
+    """Return the key of the record of the leader."""
     return _make_key(era, _LEADER)
 
 
 def make_quarantine_key(era: Era) -> str:
-    """Return the key of the record of requests in quarantine."""
+    """Return the key of the record of quarantined requests."""
     return _make_key(era, _QUARANTINE)
 
 
 def make_ranges_key(era: Era, service: ServiceName) -> str:
-    """Return the key of the owners of a service's keys."""
+    """Return the key of a service's table of owners."""
     return make_ranges_prefix(era) + service
 
 
 def make_ranges_prefix(era: Era) -> str:
-    """Return the beginning of the keys of all services' owners."""
+    """Return the key prefix of all services' tables of owners."""
     return _make_key(era, _RANGES)
--- a/sedgetide/daemons/_recoverycoordinator.py
+++ b/sedgetide/daemons/_recoverycoordinator.py
@@ -1,4 +1,7 @@
-"""Has all upstreams give back their keys before the first grant of an era."""
+"""Recovery of ownership after the store was restored from a backup.
+
+In a new era all upstreams release their keys before the first grant.
+"""
 
 import gevent
 
@@ -25,7 +28,7 @@
 
 
 class _ServiceRecovery:
-    """Tasks that ask the upstreams of one service."""
+    """Recovery of one service and the tasks that contact its upstreams."""
 
     def __init__(self, recovery: Recovery, fence: Fence) -> None:
         self.recovery = recovery
@@ -35,16 +38,16 @@
 
 
 class RecoveryCoordinator:
-    """Recoveries of all services in one term.
+    """Recovers the ownership of all services during one term.
 
     Parameters
     ----------
     term : Term
-        Which orders are part of.
-    knowledge : DeploymentState
-        Upstreams, and owners as they were known before.
-    lanes : OrderClients
-        Ways to upstreams.
+        Whether orders may be sent, and how long granted ranges may be held.
+    deployment : DeploymentState
+        Upstreams, and the last known owners.
+    clients : OrderClients
+        Clients of the upstreams.
     """
 
     def __init__(
@@ -57,7 +60,7 @@
         self._recovered: set[ServiceName] = set()
 
     def close(self) -> None:
-        """Ask nobody any more."""
+        """Cancel all recoveries."""
         for service in list(self._recoveries):
             self._stop_tasks(service)
 
@@ -66,12 +69,13 @@
             task.kill(block=False)
 
     def recover_table(self, service: ServiceName) -> RangeTable | None:
-        """Return the table from which the era goes on, without its owners.
+        """Return the table to start the era from, or advance the recovery.
 
         Returns
         -------
         RangeTable or None
-            None while somebody may still hold keys of earlier eras.
+            Last known tenures at a fence above all of earlier eras; None
+            while an upstream may still hold keys granted in one of those.
         """
         known = self._deployment.find_table(service) or RangeTable()
         if self._term.era == FIRST_ERA:
@@ -129,10 +133,11 @@
     def _list_upstreams(
         self, service: ServiceName, known: RangeTable, now: float
     ) -> set[IncarnationName]:
-        """Return who may hold keys of the service.
+        """Return the upstreams that may hold keys of the service.
 
-        Also those that have left while grants of earlier eras may hold,
-        unless another has their address: then their process has ended.
+        These include upstreams that have left as long as grants of earlier
+        eras may be held, unless another upstream has their address now,
+        which shows that their process has ended.
         """
         since = now - self._term.longest_hold
         upstreams = set(self._clients.list_seen(service, since))
@@ -154,11 +159,11 @@
         state: _ServiceRecovery,
         upstreams: list[IncarnationName],
     ) -> None:
-        """Ask all for their keys, once each of them can be reached.
+        """Request releases from all upstreams, once all are reachable.
 
-        While one can't, nothing may be granted anyway, and the others go on
-        serving under what they were granted before. So they do while the
-        store is silent: the table could not be written.
+        As long as one isn't reachable no keys may be granted anyway, so the
+        others keep serving under their existing grants. The same holds while
+        the store doesn't answer, as the table could not be written.
         """
         reachable = state.reachable.issuperset(upstreams)
         ready = reachable and self._term.is_fresh(read_clock())
@@ -183,8 +188,8 @@
             return
         address = self._clients.find_address(name)
         if address and probe(address, _PROBE_TIMEOUT) is Presence.ENDED:
-            # Nobody listens there: its process has ended, and its grants
-            # with it.
+            # Nothing listens at the address: the process has ended, so its
+            # grants are no longer held.
             state.recovery.note_released(name)
             self._deployment.changes.notify_all()
             return
--- a/sedgetide/daemons/_renewal.py
+++ b/sedgetide/daemons/_renewal.py
@@ -1,4 +1,4 @@
-"""One round of renewals of all that an upstream owns."""
+"""Renewal of the grants of all ranges that an upstream owns."""
 
 from collections.abc import Callable
 from collections.abc import Sequence
@@ -15,24 +15,23 @@
 def renew_grants(
     tenures: Sequence[Tenure], grant: Callable[[Tenure], OrderOutcome]
 ) -> dict[Tenure, OrderOutcome]:
-    """Grant all ranges once more, and those without an answer twice.
+    """Renew the grants of all ranges, with one retry of unanswered ones.
 
-    An upstream that leaves some orders unanswered still takes the others:
-    each range has its own chance in every round, and a slow one holds up
-    at most one of the workers. One that can not be reached at all is given
-    up at once.
+    An upstream that doesn't answer some orders may still answer the others.
+    So each range is tried in every round, and a slow one blocks at most one
+    of the workers. The round ends if the upstream can't be reached at all.
 
     Parameters
     ----------
     tenures : sequence of Tenure
-        What it owns.
+        Ranges that the upstream owns.
     grant : callable
-        Gives one order and returns what became of it.
+        Sends the grant of one range and returns its outcome.
 
     Returns
     -------
     dict
-        What became of each range, those never tried left out.
+        Outcome for each range that was tried.
     """
     taken: dict[Tenure, OrderOutcome] = {}
 
--- a/sedgetide/daemons/_storetask.py
+++ b/sedgetide/daemons/_storetask.py
@@ -1,4 +1,4 @@
-"""The tasks of a keeper that talk to the platform's store."""
+"""Tasks of a keeper that call the platform's store."""
 
 import abc
 import contextlib
@@ -25,40 +25,52 @@
 
 
 class StoreListener(abc.ABC):
-    """The process the store's tasks speak to."""
+    """Interface of the process that a store task reports to."""
 
     @abc.abstractmethod
     def is_watching(self) -> bool:
-        """Tell whether this process watches for its data centre."""
+        """Return whether this process watches for its data centre."""
 
     @abc.abstractmethod
     def handle_records(self, records: list[Record]) -> None:
-        """Take in records read from the store."""
+        """Handle records read from the store."""
 
     @abc.abstractmethod
     def handle_proof(
         self, asked_at: float, revision: Revision, record: Record | None
     ) -> None:
-        """Take in a read of the assignment's revision."""
+        """Handle a read of the assignment's revision.
+
+        Parameters
+        ----------
+        asked_at : float
+            Own clock before the read was sent.
+        revision : Revision
+            Current revision of the assignment.
+        record : Record or None
+            The assignment, if its revision is another than at the last read.
+        """
 
     @abc.abstractmethod
-    def set_store_unavailable(self, away: bool) -> None:
-        """Take in whether the last call got no answer."""
+    def set_store_unavailable(self, unavailable: bool) -> None:
+        """Set whether the last call to the store failed."""
 
 
 class StoreTask:
-    """Watches the store and proves the assignment's revision.
+    """Watches the store and reads the assignment's revision at intervals.
+
+    Such a read proves that there was no newer assignment when it was sent.
 
     Parameters
     ----------
     store : Store
-        Client, owned by the task.
+        Client, closed by the task.
     key : str
         Key of the data centre's assignment.
     interval : float
-        Seconds between proofs.
-    owner : StoreListener
-        Receives what is read.
+        Seconds between reads of the revision.
+    listener : StoreListener
+        Receives records and proofs.
     """
 
     def __init__(
@@ -75,7 +87,7 @@
         self.reached_at = float("-inf")
 
     def start(self, stack: contextlib.ExitStack) -> None:
-        """Begin both loops; the stack ends them."""
+        """Start both loops; the stack stops them."""
         stack.callback(self._store.close)
         for loop in (self._watch_loop, self._proof_loop):
             spawn_vital(loop, stack)
@@ -92,17 +104,17 @@
                 gevent.sleep(_RETRY_DELAY)
 
     def watch_once(self) -> None:
-        """Wait for changes once, and pass them on.
+        """Watch the store once and pass on the changes.
 
-        The first call does not wait, so that a start learns at once what is
-        there.
+        The first call doesn't wait, so that a starting process gets all
+        existing records at once.
         """
         wait = _WATCH_WAIT if self._watched else 0.0
         changes = self._store.watch("", self._since, wait)
         self._watched = True
         self._listener.handle_records(changes.records)
-        # An answer from a restored store could be lower; the records
-        # themselves never go back.
+        # A restored store may answer with a lower revision, but records are
+        # never replaced by older ones.
         self._since = max(self._since, changes.revision)
 
     def _proof_loop(self) -> None:
@@ -129,7 +141,7 @@
 
     def _note_error(self, error: StoreError) -> None:
         if not self.last_error:
-            _log.warning("store away", extra={"error": str(error)})
+            _log.warning("store unavailable", extra={"error": str(error)})
         self.last_error = str(error)
         self._listener.set_store_unavailable(True)
 
@@ -148,27 +160,27 @@
     assignment : Assignment
         New version, with its own change id.
     expected : Revision
-        Revision of the version it was made from.
+        Revision of the version on which the new one is based.
 
     Returns
     -------
     Record or None
-        What is in the store now; None when it could not be found out.
+        Record in the store after the write; None if it is unknown.
 
     Notes
     -----
-    A lost answer may belong to a change that took effect. It is read back,
-    and the change id tells whose version it is; without the id a writer
-    could take another's change for its own, or its own for a failure.
+    A write without an answer may have taken effect, so the record is read
+    back. Its change id shows whose version it is: without it a writer could
+    mistake another's change for its own, or its own for a failure.
     """
     value = encode_assignment(assignment)
     try:
         revision = store.swap(key, value, expected)
         return Record(key, revision, value)
     except StoreConflict as error:
-        _log.info("swap lost", extra={"error": str(error)})
+        _log.info("compare-and-swap conflict", extra={"error": str(error)})
     except StoreError as error:
-        _log.warning("swap unanswered", extra={"error": str(error)})
+        _log.warning("compare-and-swap failed", extra={"error": str(error)})
         if error.code is ErrorCode.STORE_UNAVAILABLE:
             return None
     with contextlib.suppress(StoreError):
@@ -182,7 +194,7 @@
         return None
     found = decode_assignment(record.value)
     _log.info(
-        "swap read back",
+        "assignment read back",
         extra={
             "revision": record.revision,
             "own": found.change_id == assignment.change_id,
--- a/sedgetide/daemons/_storewatcher.py
+++ b/sedgetide/daemons/_storewatcher.py
@@ -1,4 +1,4 @@
-"""The task that keeps a host's knowledge up to date."""
+"""Task that keeps a host's state of the deployment in sync with the store."""
 
 from collections.abc import Callable
 import contextlib
@@ -14,50 +14,51 @@
 from sedgetide.runtime.events import log_event
 from sedgetide.runtime.tasks import spawn_vital
 
-# A watch whose connection or store has gone silent looks like one without
-# news; this bounds how long a change of the policy can stay unseen then.
+# Seconds. A watch on a broken connection or an unresponsive store looks like
+# one without changes; this limits how long a change of the policy can go
+# unnoticed.
 _WATCH_WAIT = 2.5
 _FIRST_WATCH_WAIT = 0.2
 _RETRY_DELAY = 0.15
-# Seconds; a feed counts as silent after one, so this is a fifth on top.
+# Seconds; adds a fifth to the one second after which a feed counts as lost.
 _FED_POLL_INTERVAL = 0.2
 _BATCH_DELAY = 0.15
 _MAX_RETRY_DELAY = 0.6
 
 
-def choose_watch_delay(leading: bool, news: int) -> float:
+def choose_watch_delay(leading: bool, event_count: int) -> float:
     """Return how long to wait before the next watch, in seconds.
 
-    While nobody leads, every host watches for itself, and each event of
-    each upstream would be a call of each host: with sixty hosts and thirty
-    events a second more than the store grants. The leader acts on what it
-    sees and waits for nothing.
+    Without a leader every host watches the store itself, and each event
+    would cause a call of each host. With sixty hosts and thirty events a
+    second, that is more than the store's rate limit allows. A leader doesn't
+    wait, as it has to react to events at once.
 
     Parameters
     ----------
     leading : bool
         Whether this host leads.
-    news : int
-        Number of events that the last watch brought.
+    event_count : int
+        Number of events that the last watch returned.
     """
-    return _BATCH_DELAY if news and not leading else 0.0
+    return _BATCH_DELAY if event_count and not leading else 0.0
 
 
 class StoreWatcher:
-    """Lists the store once in each era and watches it from there.
+    """Lists the store once in each era and watches it from there on.
 
     Parameters
     ----------
     store : LeaseStore
-        Its own client; a watch occupies a connection.
+        Client that no other task uses; a watch occupies a connection.
     prefix : str
-        Beginning of all keys to follow.
-    knowledge : DeploymentState
-        What is kept up to date.
+        Prefix of the keys to watch.
+    deployment : DeploymentState
+        State to update.
     is_fed : callable
-        Whether the leader passes on all that the store tells.
+        Returns whether the leader's feed replaces the watch.
     is_leading : callable
-        Whether this host leads.
+        Returns whether this host leads.
     """
 
     def __init__(
@@ -78,7 +79,7 @@
         self.available = False
 
     def start(self, stack: contextlib.ExitStack) -> None:
-        """Begin to follow."""
+        """Start the task; the stack closes the client."""
         spawn_vital(self._loop, stack)
         stack.callback(self._store.close)
 
--- a/sedgetide/daemons/host.py
+++ b/sedgetide/daemons/host.py
@@ -1,4 +1,4 @@
-"""The daemon of a host: serves callers, and leads when it is its turn."""
+"""Daemon of a host: routes callers' requests, and may lead the hosts."""
 
 from collections.abc import Callable
 import contextlib
@@ -88,59 +88,59 @@
 _PRUNE_PERIOD = 10
 _STOP_POLL_INTERVAL = 0.05
 _EXIT_RESERVE = 0.25
-# Hosts do not know of each other's retries. A share of each one's own
-# requests adds up to that share of all, whoever can talk to whom; the rest is
-# for those that start anew.
+# Hosts don't know of each other's retries. Each is limited to a share of its
+# own requests, which adds up to that share of all requests even if hosts are
+# partitioned. The remaining fifth is for hosts that have just started.
 _RETRY_SHARE = 0.8
 _MAX_NOTICE_SHARE = 0.49
 
 
 class DeploymentAdapter(msgspec.Struct, frozen=True):
-    """All that a deployment's adapter brings.
+    """Interfaces that adapt a host to the protocols of a deployment.
 
     Parameters
     ----------
     requests : RequestDialect
-        Headers of requests and answers.
+        Translates headers of requests and answers.
     orders : OrderDialect
-        Grants and releases.
-    catalogue : RegistryDialect
-        Registry and routes.
+        Encodes grants and releases.
+    registry : RegistryDialect
+        Decodes registry entries and routes.
     open_store : callable
-        Returns a client of the store at an address, which tells of the
-        eras of its answers.
+        Returns a client of the store at an address. The client notifies the
+        given tracker of the eras of its answers.
     readiness_path : str
-        Where the balancer asks whether this host is ready.
+        Path of the readiness probe of the load balancer.
     """
 
     requests: RequestDialect
     orders: OrderDialect
-    catalogue: RegistryDialect
+    registry: RegistryDialect
     open_store: Callable[[str, EraTracker], LeaseStore]
     readiness_path: str
 
 
 class Host(Inspectable):
-    """One host: callers' side, knowledge, and the leader's task.
+    """One host: request router, state of the deployment, and leader task.
 
     Parameters
     ----------
     settings : HostSettings
-        Checked settings.
-    dialects : DeploymentAdapter
-        The deployment's adapter.
+        Validated settings.
+    adapter : DeploymentAdapter
+        Interfaces to the protocols of the deployment.
     """
 
     def __init__(
-        self, settings: HostSettings, dialects: DeploymentAdapter
+        self, settings: HostSettings, adapter: DeploymentAdapter
     ) -> None:
         self._settings = settings
-        self._adapter = dialects
+        self._adapter = adapter
         self._stopping = False
         self.incarnation = make_incarnation()
         self._eras = EraTracker()
         self._deployment = DeploymentState(
-            dialects.catalogue,
+            adapter.registry,
             Evacuations(settings.evacuate_ms / 1000.0),
             ColdTolerance(settings.cold_overrun, settings.cold_slack),
         )
@@ -182,7 +182,7 @@
         )
         self._router = RequestRouter(
             self._deployment,
-            dialects.requests,
+            adapter.requests,
             self._channels,
             self._places,
             self._meter,
@@ -260,12 +260,12 @@
         )
 
     def start(self, stack: contextlib.ExitStack) -> None:
-        """Begin to listen, to follow, and to stand."""
+        """Start the listeners and all tasks; the stack stops them."""
         self._start_admin(stack)
         stack.callback(self._channels.close)
         stack.callback(self._transport.close)
         self._transport.start()
-        for prefix in self._adapter.catalogue.list_prefixes():
+        for prefix in self._adapter.registry.list_prefixes():
             watcher = StoreWatcher(
                 self._open_store(),
                 prefix,
@@ -309,7 +309,7 @@
                 self._channels.prune({entry.name for entry in entries})
 
     def _update_partition(self, now: float) -> None:
-        """Send callers elsewhere while this host is cut off."""
+        """Withdraw from the load balancer while this host is partitioned."""
         withdrawn = self._partitions.should_withdraw(
             self._deployment.heard_at, now
         )
@@ -344,7 +344,7 @@
         self._leader.note_report(report, link, now)
 
     def _drop_message(self, message: Message) -> None:
-        """Leave a report unsent; the next one tells enough."""
+        """Drop an unsent message; the next load report supersedes it."""
 
     def _is_fed(self) -> bool:
         return not self._leader.leading and self._feed.is_fresh(read_clock())
@@ -397,12 +397,12 @@
     # Stop
 
     def stop(self) -> None:
-        """Let callers go elsewhere and end what is in hand.
+        """Drain: stop accepting requests and finish those in progress.
 
-        First the balancer needs time to notice, and what still comes is
-        served, each answer with the wish to close. Then nothing new is
-        taken: a request that came later could outlast the grace and would
-        be cut by the end of the process while its upstream works on it.
+        At first requests are still served, with ``Connection: close`` in the
+        answers, until the load balancer has noticed. Then no connection is
+        accepted any more: a later request could exceed the grace period and
+        be aborted when the process ends, while its upstream works on it.
         """
         self._stopping = True
         log_event(
@@ -433,15 +433,15 @@
             gevent.sleep(_STOP_POLL_INTERVAL)
 
 
-def main(arguments: list[str] | None, dialects: DeploymentAdapter) -> int:
-    """Run a host until SIGTERM.
+def main(arguments: list[str] | None, adapter: DeploymentAdapter) -> int:
+    """Run a host until SIGTERM or SIGINT.
 
     Parameters
     ----------
     arguments : list of str or None
-        Command line: the settings file.
-    dialects : DeploymentAdapter
-        The deployment's adapter.
+        Command line, which names the settings file.
+    adapter : DeploymentAdapter
+        Interfaces to the protocols of the deployment.
     """
     settings = read_settings(
         "sedgetide-host", __doc__, HostSettings, arguments
@@ -451,7 +451,7 @@
         gevent.signal_handler(number, stopped.set)
     gevent.signal_handler(signal.SIGHUP, _note_reload)
     with contextlib.ExitStack() as stack:
-        host = Host(settings, dialects)
+        host = Host(settings, adapter)
         host.start(stack)
         log_event(
             Event.STARTED,
@@ -464,5 +464,5 @@
 
 
 def _note_reload() -> None:
-    """Say that the settings of a running process do not change."""
+    """Log that settings can't be reloaded in a running process."""
     log_event(Event.RELOAD)
--- a/tests/daemons/test_deployment.py
+++ b/tests/daemons/test_deployment.py
@@ -1,4 +1,4 @@
-"""Tests of what a host makes of the records that a copy shows."""
+"""Tests of the deployment state after the store is restored."""
 
 import msgspec
 import testtools
@@ -18,11 +18,11 @@
 from sedgetide.daemons._recordkeys import make_leader_key
 from sedgetide.daemons._recordkeys import make_quarantine_key
 from sedgetide.daemons._recordkeys import make_ranges_key
-from tests.daemons.test_election import FakeCatalogue
+from tests.daemons.test_election import FakeRegistry
 
 SERVICE = "maps"
-CENTRE = "dc"
-WISH = "op/wish"
+DATA_CENTRE = "dc"
+EVACUATION_KEY = "op/wish"
 READY, LEAVING = b"ready", b"leaving"
 OLD = RangeTable(3).assign_first([("u-1", 1)])
 NEW = RangeTable(8).assign_first([("u-2", 1)])
@@ -31,32 +31,32 @@
 
 
 def make_table(era, table, read_in, revision):
-    """Return a table as it is read in some era."""
+    """Return a table written in one era as read in another."""
     key = make_ranges_key(era, SERVICE)
     position = Position(read_in, revision)
     return Item(key, position, encode_ranges(table))
 
 
-class TestReturn(testtools.TestCase):
-    """The store has come back from a copy."""
+class TestRecordsAfterRestore(testtools.TestCase):
+    """Records read after the store was restored from a backup."""
 
     def setUp(self):
         super().setUp()
-        self.known = DeploymentState(FakeCatalogue())
+        self.known = DeploymentState(FakeRegistry())
 
     def list_items(self, era, *items):
         position = Position(era, 100)
         self.known.apply_listing(Listing(list(items), position), 10.0)
         self.known.record_sync(position, 10.0)
 
-    def test_older_table_of_the_copy_changes_nothing(self):
-        # Guards against a host that sends requests where keys were before.
+    def test_older_table_of_the_backup_changes_nothing(self):
+        # Guards against requests to former owners of keys.
         self.list_items(0, make_table(0, NEW, 0, 50))
         self.list_items(1, make_table(0, OLD, 1, 20))
         self.assertEqual(NEW, self.known.find_table(SERVICE))
         self.assertIsNone(self.known.find_table_in_era(SERVICE, 1))
 
-    def test_table_of_the_copy_is_a_hint_to_hosts_that_start(self):
+    def test_table_of_the_backup_is_a_hint_to_hosts_that_start(self):
         self.list_items(1, make_table(0, OLD, 1, 20))
         self.assertEqual(OLD, self.known.find_table(SERVICE))
         self.assertIsNone(self.known.find_table_in_era(SERVICE, 1))
@@ -69,8 +69,9 @@
         self.assertEqual(FIRST, self.known.find_table_in_era(SERVICE, 1))
         self.assertEqual(FIRST, self.known.find_table(SERVICE))
 
-    def test_leader_of_an_earlier_era_leads_nobody(self):
-        # Guards against hosts that report to it, and let nobody stand.
+    def test_leader_of_an_earlier_era_is_ignored(self):
+        # Guards against hosts that report to the former leader and so never
+        # elect another.
         record = Item(make_leader_key(0), Position(0, 5), LEADER)
         self.list_items(0, record)
         self.known.note_era(1, 9.0)
@@ -84,8 +85,9 @@
         self.known.apply_items([found, gone], 11.0)
         self.assertEqual("h-1", self.known.leader.record.host)
 
-    def test_quarantine_is_to_be_written_again(self):
-        # Guards against stays that are forgotten with the next loss of all.
+    def test_quarantine_has_to_be_written_again(self):
+        # Guards against stays in quarantine that are lost when all hosts are
+        # restarted, since they weren't written in the new era.
         record = Item(make_quarantine_key(0), Position(0, 5), b"{}")
         self.list_items(0, record)
         self.known.note_era(1, 9.0)
@@ -95,28 +97,28 @@
         position = self.known.recorded_quarantine.position
         self.assertEqual(NO_POSITION, position)
 
-    def test_registry_is_whole_some_seconds_after_the_return(self):
+    def test_registrations_end_some_seconds_after_the_restore(self):
         self.list_items(0)
         self.known.note_era(1, 9.0)
         self.list_items(1)
         self.assertEqual(11.3, self.known.find_reregistration_end())
 
 
-class Registry(FakeCatalogue):
-    """Upstreams whose value tells whether they leave, and a wish."""
+class Registry(FakeRegistry):
+    """Upstreams that are ready or leaving, and an evacuation request."""
 
     def read(self, key, value):
-        if key == WISH:
-            return EvacuationRequest(CENTRE, value is not None)
+        if key == EVACUATION_KEY:
+            return EvacuationRequest(DATA_CENTRE, value is not None)
         if value is None:
             return UpstreamWithdrawn(key)
         return RegisteredUpstream(
-            key, SERVICE, key, CENTRE, leaving=value == LEAVING
+            key, SERVICE, key, DATA_CENTRE, leaving=value == LEAVING
         )
 
 
-class TestWhatTheCopyShowsUndone(testtools.TestCase):
-    """Operators and upstreams wrote it, and it is lost for some seconds."""
+class TestWritesLostInRestore(testtools.TestCase):
+    """Recent writes are missing in the backup and are written again."""
 
     def setUp(self):
         super().setUp()
@@ -129,8 +131,8 @@
         self.known.apply_items([Item(key, position, value)], now)
         self.known.record_sync(position, now)
 
-    def return_from_copy(self, now, **items):
-        """Let the host list what a copy shows."""
+    def restore_store(self, now, **items):
+        """Let the host list the items of a backup."""
         self.revision = 3
         position = Position(1, self.revision)
         shown = [
@@ -146,85 +148,87 @@
         return sorted(each.name for each in found)
 
     def test_upstream_that_leaves_is_not_ready_again(self):
-        # Guards against requests to whoever has said that it leaves.
+        # Guards against requests to an upstream that announced its shutdown.
         self.write(1.0, "u1", READY)
         self.write(2.0, "u1", LEAVING)
-        self.return_from_copy(5.0, u1=READY)
+        self.restore_store(5.0, u1=READY)
         self.assertEqual([], self.list_active())
         self.write(6.0, "u1", READY, era=1)
         self.assertEqual([], self.list_active())
         self.assertEqual(["u1"], self.known.directory.list_announced())
 
-    def test_upstream_that_had_gone_is_not_back(self):
-        # Guards against requests to whoever took its entry away.
+    def test_withdrawn_upstream_is_not_active_again(self):
+        # Guards against requests to an upstream that removed its entry.
         self.write(1.0, "u1", READY)
         self.write(2.0, "u1", None)
-        self.return_from_copy(5.0, u1=READY)
+        self.restore_store(5.0, u1=READY)
         self.assertEqual([], self.list_active())
         self.write(6.5, "u1", None, era=1)
         self.assertIsNone(self.known.directory.find("u1"))
 
     def test_upstream_that_writes_its_entry_again_is_back(self):
-        # Guards against one that was cut off and is left out for good.
+        # Guards against excluding an upstream for good after a partition.
         self.write(1.0, "u1", READY)
         self.write(2.0, "u1", None)
-        self.return_from_copy(5.0, u1=READY)
+        self.restore_store(5.0, u1=READY)
         self.write(6.0, "u1", READY, era=1)
         self.assertEqual(["u1"], self.list_active())
 
-    def test_upstream_whose_entry_does_not_lapse_is_back(self):
-        # Guards against one that lives, was missing in one copy for long,
-        # stands in the next, and has no reason to change its entry.
+    def test_upstream_whose_entry_does_not_expire_is_back(self):
+        # Guards against excluding a live upstream whose entry was missing in
+        # one backup, is in the next, and needn't be written again.
         self.write(1.0, "u1", READY)
         self.write(2.0, "u1", None)
-        self.return_from_copy(5.0, u1=READY)
+        self.restore_store(5.0, u1=READY)
         self.known.directory.expire(8.9)
         self.assertEqual([], self.list_active())
         self.assertTrue(self.known.directory.expire(9.1))
         self.assertEqual(["u1"], self.list_active())
 
-    def test_upstream_that_is_missing_has_two_seconds(self):
-        # Guards against keys taken from all that registered lately.
+    def test_missing_upstream_is_kept_for_two_seconds(self):
+        # Guards against moving the keys of all upstreams that registered
+        # after the backup was made.
         self.write(1.0, "u1", READY)
-        self.return_from_copy(5.0)
+        self.restore_store(5.0)
         self.known.directory.expire(7.0)
         self.assertEqual(["u1"], self.list_active())
         self.known.directory.expire(7.4)
         self.assertEqual([], self.list_active())
 
-    def test_upstream_of_the_new_era_is_taken_at_once(self):
-        self.return_from_copy(5.0, u1=READY)
+    def test_upstream_of_the_new_era_is_active_at_once(self):
+        self.restore_store(5.0, u1=READY)
         self.assertEqual(["u1"], self.list_active())
 
     def list_evacuated(self):
         return list(self.known.directory.evacuations.list_evacuating())
 
     def test_evacuation_goes_on_until_it_is_written_again(self):
-        # Guards against work that goes back to a data centre for a second.
-        self.write(1.0, WISH, b"{}")
-        self.return_from_copy(5.0)
+        # Guards against an evacuation that is interrupted for a second.
+        self.write(1.0, EVACUATION_KEY, b"{}")
+        self.restore_store(5.0)
         self.known.apply_pending_evacuations(7.0)
-        self.assertEqual([CENTRE], self.list_evacuated())
-        self.write(7.1, WISH, b"{}", era=1)
+        self.assertEqual([DATA_CENTRE], self.list_evacuated())
+        self.write(7.1, EVACUATION_KEY, b"{}", era=1)
         self.known.apply_pending_evacuations(9.0)
-        self.assertEqual([CENTRE], self.list_evacuated())
-
-    def test_evacuation_that_was_taken_back_does_not_begin_again(self):
-        # Guards against keys that leave a data centre and come back, cold.
-        self.write(1.0, WISH, b"{}")
-        self.write(2.0, WISH, None)
-        self.return_from_copy(5.0, op_wish=b"{}")
+        self.assertEqual([DATA_CENTRE], self.list_evacuated())
+
+    def test_cancelled_evacuation_does_not_start_again(self):
+        # Guards against keys that leave a data centre and return to cold
+        # upstreams.
+        self.write(1.0, EVACUATION_KEY, b"{}")
+        self.write(2.0, EVACUATION_KEY, None)
+        self.restore_store(5.0, op_wish=b"{}")
         self.assertEqual([], self.list_evacuated())
-        self.write(6.0, WISH, None, era=1)
+        self.write(6.0, EVACUATION_KEY, None, era=1)
         self.known.apply_pending_evacuations(9.0)
         self.assertEqual([], self.list_evacuated())
 
-    def test_what_nobody_writes_again_is_taken_in_the_end(self):
-        self.write(1.0, WISH, b"{}")
-        self.return_from_copy(5.0)
+    def test_backup_is_applied_unless_it_is_written_again(self):
+        self.write(1.0, EVACUATION_KEY, b"{}")
+        self.restore_store(5.0)
         self.known.apply_pending_evacuations(7.4)
         self.assertEqual([], self.list_evacuated())
 
-    def test_host_that_starts_takes_what_there_is(self):
-        self.return_from_copy(5.0, op_wish=b"{}")
-        self.assertEqual([CENTRE], self.list_evacuated())
+    def test_starting_host_applies_the_backup_at_once(self):
+        self.restore_store(5.0, op_wish=b"{}")
+        self.assertEqual([DATA_CENTRE], self.list_evacuated())
--- a/tests/daemons/test_election.py
+++ b/tests/daemons/test_election.py
@@ -26,7 +26,7 @@
 AS_OF = Position(FIRST_ERA, 1)
 
 
-class FakeCatalogue(RegistryDialect):
+class FakeRegistry(RegistryDialect):
     """Registry without entries."""
 
     def list_prefixes(self):
@@ -46,7 +46,10 @@
     def _check_available(self):
         if self.unavailable:
             raise StoreError(
-                ErrorCode.STORE_UNAVAILABLE, Step.READ, "store", "unavailable"
+                ErrorCode.STORE_UNAVAILABLE,
+                Step.READ,
+                "store",
+                "not available",
             )
 
     def read(self, key):
@@ -91,7 +94,7 @@
         self.store = ModelStore(self.model)
         self.durations = Durations(verify=0.001)
         self.leadership = Leadership(self.durations)
-        self.deployment = DeploymentState(FakeCatalogue())
+        self.deployment = DeploymentState(FakeRegistry())
         self.election = Election(
             self.store,
             LeaderRecord("h-1", "x", "1.1.1.1:1"),
--- a/tests/daemons/test_feed.py
+++ b/tests/daemons/test_feed.py
@@ -1,4 +1,4 @@
-"""Tests of what the leader passes on to the other hosts."""
+"""Tests of the feed from the leader to the other hosts."""
 
 import testtools
 
@@ -23,8 +23,8 @@
     return Position(era, revision)
 
 
-class FakeCatalogue(RegistryDialect):
-    """Every key is an upstream."""
+class FakeRegistry(RegistryDialect):
+    """Registry in which every key is an upstream."""
 
     def list_prefixes(self):
         return ("",)
@@ -36,12 +36,12 @@
 
 
 class FeedTest(testtools.TestCase):
-    """A leader and a host."""
+    """Base class with a leader and a host."""
 
     def setUp(self):
         super().setUp()
-        self.leader = DeploymentState(FakeCatalogue())
-        self.host = DeploymentState(FakeCatalogue())
+        self.leader = DeploymentState(FakeRegistry())
+        self.host = DeploymentState(FakeRegistry())
         self.eras = EraTracker()
         self.receiver = FeedReceiver(self.host, self.eras)
         self.sent = []
@@ -49,7 +49,7 @@
             self.leader, lambda _, message: self.sent.append(message)
         )
 
-    def tell_leader(self, revision, key, value=b"x", now=100.0):
+    def update_leader(self, revision, key, value=b"x", now=100.0):
         self.leader.apply_items([Item(key, at(revision), value)], now)
         self.leader.record_sync(at(revision), now)
 
@@ -67,11 +67,11 @@
 
 
 class TestFeed(FeedTest):
-    """Versions go from the leader to hosts; a gap is never passed over."""
+    """Hosts receive all changes from the leader, without gaps."""
 
     def test_host_gets_what_it_lacks(self):
-        self.tell_leader(5, "u-1")
-        self.tell_leader(6, "u-2")
+        self.update_leader(5, "u-1")
+        self.update_leader(6, "u-2")
         self.report(100.1)
         self.deliver(100.1)
         self.assertEqual(["u-1", "u-2"], self.list_names())
@@ -79,9 +79,9 @@
         self.assertTrue(self.receiver.is_fresh(100.2))
 
     def test_host_learns_how_many_there_are(self):
-        # Each host saves its part of the retries granted to all; one that
-        # a cut hides from the leader goes on to use its own.
-        self.tell_leader(5, "u-1")
+        # The retry budget is divided among all hosts. A host that is
+        # partitioned from the leader keeps using its share.
+        self.update_leader(5, "u-1")
         self.publisher.note_report("10.0.0.3:1", at(0), 100.0)
         self.report(100.0)
         self.deliver(100.0)
@@ -93,17 +93,18 @@
         self.assertEqual(3, self.host.hosts)
 
     def test_many_small_items_are_fed(self):
-        # At the start every upstream's entry changes; together they are
-        # more than a large item, and a list of the store for each host.
+        # At startup the entries of all upstreams change. Together they are
+        # larger than a large item, but shouldn't make each host list the
+        # store.
         for number in range(1, 300):
-            self.tell_leader(number, f"u-{number}", b"x" * 200)
+            self.update_leader(number, f"u-{number}", b"x" * 200)
         self.report(100.0)
         self.deliver(100.0)
         self.assertTrue(self.receiver.is_fresh(100.0))
 
     def feed_versions(self, *values):
         for revision, value in enumerate(values, 5):
-            self.tell_leader(revision, "u-1", value)
+            self.update_leader(revision, "u-1", value)
             self.publisher.publish(100.0)
 
     def test_change_of_a_long_item_travels_as_a_patch(self):
@@ -118,8 +119,8 @@
         self.assertEqual(changed, self.host.find_item("u-1").value)
 
     def test_patch_of_an_unknown_version_sends_the_host_to_the_store(self):
-        # The leader takes the host for further than it is. Whatever the
-        # patch would make of another version, nobody owns those keys.
+        # The leader assumes a newer version than the host has. Applied to that
+        # one, the patch would produce a table that was never written.
         value = bytes(range(256)) * 20
         self.report(100.0)
         self.feed_versions(value, value + b"a")
@@ -132,23 +133,23 @@
         self.assertEqual(at(5), self.host.as_of)
         self.assertFalse(self.receiver.is_fresh(100.0))
 
-    def test_news_are_pushed_once(self):
+    def test_changes_are_pushed_once(self):
         self.report(100.0)
         self.deliver(100.0)
-        self.tell_leader(5, "u-1")
+        self.update_leader(5, "u-1")
         self.publisher.publish(100.1)
         self.publisher.publish(100.2)
         self.assertEqual(1, len(self.sent))
 
     def test_lost_message_leaves_no_gap(self):
-        # A push is lost, the next one comes: taken as it is, the host would
-        # believe to know all and never hear that u-1 exists.
+        # A message is lost and the next one arrives. If the host applied it,
+        # it would count as synced without ever learning of u-1.
         self.report(100.0)
         self.deliver(100.0)
-        self.tell_leader(5, "u-1")
+        self.update_leader(5, "u-1")
         self.publisher.publish(100.1)
         self.sent.clear()
-        self.tell_leader(6, "u-2")
+        self.update_leader(6, "u-2")
         self.publisher.publish(100.2)
         self.deliver(100.2)
         self.assertEqual([], self.list_names())
@@ -158,20 +159,20 @@
         self.assertEqual(["u-1", "u-2"], self.list_names())
 
     def test_removal_is_passed_on(self):
-        self.tell_leader(5, "u-1")
+        self.update_leader(5, "u-1")
         self.report(100.0)
         self.deliver(100.0)
-        self.tell_leader(7, "u-1", None)
+        self.update_leader(7, "u-1", None)
         self.publisher.publish(100.1)
         self.deliver(100.1)
         self.assertEqual([], self.list_names())
 
-    def test_late_message_leads_nobody_back(self):
-        self.tell_leader(5, "u-1")
+    def test_late_message_does_not_revert_the_host(self):
+        self.update_leader(5, "u-1")
         self.report(100.0)
         old = list(self.sent)
         self.deliver(100.0)
-        self.tell_leader(7, "u-1", None)
+        self.update_leader(7, "u-1", None)
         self.publisher.publish(100.1)
         self.deliver(100.1)
         self.sent = old
@@ -180,22 +181,22 @@
         self.assertEqual(at(7), self.host.as_of)
 
     def test_silence_ends_the_feed(self):
-        # The leader is gone, or cut off: the host watches again.
+        # The leader is lost or partitioned, so the host watches again.
         self.report(100.0)
-        self.tell_leader(5, "u-1")
+        self.update_leader(5, "u-1")
         self.publisher.publish(100.0)
         self.deliver(100.0)
         self.assertFalse(self.receiver.is_fresh(100.0 + FEED_TIMEOUT))
 
-    def test_leader_that_hears_nothing_passes_nothing_on(self):
-        # The leader's own watch has gone silent. What it says then would
-        # keep every host from asking the store.
-        self.tell_leader(5, "u-1")
+    def test_leader_without_store_contact_sends_no_feed(self):
+        # The leader's own watch is stuck. If it kept sending messages, no
+        # host would call the store itself.
+        self.update_leader(5, "u-1")
         self.report(110.0)
         self.assertEqual([], self.sent)
 
-    def test_leader_that_resigns_says_so(self):
-        self.tell_leader(5, "u-1")
+    def test_resigning_leader_ends_the_feed(self):
+        self.update_leader(5, "u-1")
         self.report(100.0)
         self.deliver(100.0)
         self.publisher.end()
@@ -203,26 +204,25 @@
         self.assertFalse(self.receiver.is_fresh(100.1))
 
     def test_large_item_is_left_to_the_store(self):
-        # The operators add 1,400 routes. The leader's link has room for
-        # one copy of them in a tenth of a second, not for one to each of
-        # ninety hosts: orders and news would wait behind them for seconds.
-        # Each host is sent to the store instead, which serves them all.
+        # The operators add 1,400 routes. The leader's link takes a tenth of a
+        # second for one copy: sending one to each of ninety hosts would
+        # delay orders and other changes for seconds. Each host is referred
+        # to the store instead, which can serve them all.
         self.report(100.0)
         self.deliver(100.0)
-        self.tell_leader(5, "u-1", b"x" * 140_000)
+        self.update_leader(5, "u-1", b"x" * 140_000)
         self.publisher.publish(100.1)
         self.assertEqual([[]], [each.items for each in self.sent])
         self.deliver(100.1)
         self.assertFalse(self.receiver.is_fresh(100.1))
         self.assertEqual(at(0), self.host.as_of)
 
-    def test_host_that_the_store_turns_away_gets_the_large_item(self):
-        # The store serves all but two hosts. Sent there for the large
-        # policy, these two can't read it, and as long as it is what they
-        # lack they would hear of no move and no loss either: their callers
-        # are sent to owners that are none any more.
+    def test_host_refused_by_the_store_gets_the_large_item(self):
+        # The store refuses two of the hosts, which therefore can't read the
+        # large policy there. Until they have it they would receive no other
+        # changes either, and would send requests to former owners.
         other = "10.0.0.3:1"
-        self.tell_leader(5, "u-1", b"x" * 140_000)
+        self.update_leader(5, "u-1", b"x" * 140_000)
         for moment in (100.0, 100.4, 100.8, 101.2, 101.3):
             self.leader.record_sync(at(5), moment)
             self.report(moment)
@@ -237,65 +237,65 @@
         self.assertEqual(["u-1"], self.list_names())
 
     def test_host_that_read_the_large_item_is_fed_again(self):
-        self.tell_leader(5, "u-1", b"x" * 1_000_000)
+        self.update_leader(5, "u-1", b"x" * 1_000_000)
         self.report(100.0)
         self.deliver(100.0)
         self.assertFalse(self.receiver.is_fresh(100.0))
         self.host.record_sync(at(5), 100.1)
-        self.tell_leader(6, "u-2", now=100.2)
+        self.update_leader(6, "u-2", now=100.2)
         self.report(100.3)
         self.deliver(100.3)
         self.assertTrue(self.receiver.is_fresh(100.3))
         self.assertEqual(["u-2"], self.list_names())
 
     def test_outage_seen_by_the_leader_protects_entries(self):
-        # The registry lapsed in an outage that this host did not see; the
-        # entries are gone for two seconds and come back.
-        self.tell_leader(5, "u-1")
+        # Registry entries expire in an outage that this host didn't notice,
+        # and are written again two seconds later.
+        self.update_leader(5, "u-1")
         self.report(100.0)
         self.deliver(100.0)
         self.leader.directory.note_registry_outage(101.0)
-        self.tell_leader(7, "u-1", None, 101.0)
+        self.update_leader(7, "u-1", None, 101.0)
         self.publisher.publish(101.0)
         self.deliver(101.0)
         self.assertEqual(["u-1"], self.list_names())
 
 
 class TestEras(FeedTest):
-    """The store comes back from a copy, and counts its revisions anew."""
+    """The store is restored from a backup and reassigns its revisions."""
 
-    def return_from_copy(self, names, now=101.0):
+    def restore_store(self, names, now=101.0):
         """Let the leader list the store in its second era."""
         items = [Item(name, at(3, 1), b"x") for name in names]
         self.leader.apply_listing(Listing(items, at(4, 1)), now)
         self.leader.record_sync(at(4, 1), now)
 
     def feed_both(self):
-        self.tell_leader(50, "u-1")
+        self.update_leader(50, "u-1")
         self.report(100.0)
         self.deliver(100.0)
 
-    def feed_until_read(self):
-        """Report until a host that reads nothing itself is told all."""
+    def feed_full_state(self):
+        """Report until a host that doesn't read the store gets everything."""
         for moment in (101.0, 101.4, 102.2):
             self.leader.record_sync(at(4, 1), moment)
             self.report(moment)
 
-    def test_host_that_knows_an_earlier_era_is_told_all(self):
-        # Guards against hosts that wait for a revision which was passed.
+    def test_host_of_an_earlier_era_gets_the_full_state(self):
+        # Guards against hosts that wait for a revision of the former era.
         self.feed_both()
-        self.return_from_copy(["u-1", "u-2"])
-        self.feed_until_read()
+        self.restore_store(["u-1", "u-2"])
+        self.feed_full_state()
         self.deliver(102.2)
         self.assertEqual(["u-1", "u-2"], self.list_names())
         self.assertEqual(at(4, 1), self.host.as_of)
         self.assertEqual(1, self.eras.newest)
 
-    def test_former_leader_tells_of_the_era(self):
-        # Guards against a host that the store turns away for long, and that
-        # goes on reporting to who led before.
+    def test_former_leader_announces_the_era(self):
+        # Guards against a host that the store refuses for long, and that keeps
+        # reporting to the former leader.
         self.feed_both()
-        self.return_from_copy(["u-2"])
+        self.restore_store(["u-2"])
         for moment in (101.0, 101.4, 101.8):
             self.publisher.announce_era(LINK, self.host.as_of, moment)
         self.assertEqual([], self.sent)
@@ -306,18 +306,18 @@
         self.publisher.announce_era(LINK, self.host.as_of, 102.5)
         self.assertEqual([], self.sent)
 
-    def test_host_is_sent_to_the_store_first(self):
-        # Guards against a leader that sends all there is to each host.
+    def test_host_is_referred_to_the_store_first(self):
+        # Guards against a leader that sends the full state to each host.
         self.feed_both()
-        self.return_from_copy(["u-1"])
+        self.restore_store(["u-1"])
         self.publisher.publish(101.0)
         self.assertEqual([[]], [each.items for each in self.sent])
         self.deliver(101.0)
         self.assertFalse(self.receiver.is_fresh(101.0))
         self.assertEqual(at(50), self.host.as_of)
 
-    def test_part_of_a_later_era_is_not_taken(self):
-        # Guards against a host that believes to know all of it.
+    def test_part_of_a_later_era_is_not_applied(self):
+        # Guards against a host that counts as synced with a part of the era.
         self.feed_both()
         part = StoreFeed(
             at(4, 1), at(5, 1), 0.0, 0.0, [Item("u-2", at(5, 1), b"x")]
@@ -326,13 +326,14 @@
         self.assertEqual(["u-1"], self.list_names())
         self.assertEqual(at(50), self.host.as_of)
 
-    def test_leader_that_does_not_know_the_era_leads_nobody_back(self):
-        # Guards against its words, which look newer by their revision.
+    def test_feed_of_a_former_era_is_ignored(self):
+        # Guards against applying messages of the former era, whose revisions
+        # are higher.
         self.feed_both()
         items = [Item("u-2", at(3, 1), b"x")]
         self.host.apply_listing(Listing(items, at(4, 1)), 101.0)
         self.host.record_sync(at(4, 1), 101.0)
-        self.tell_leader(60, "u-3", now=101.0)
+        self.update_leader(60, "u-3", now=101.0)
         self.publisher.publish(101.0)
         self.deliver(101.0)
         self.assertNotIn("u-3", self.list_names())
@@ -342,12 +343,12 @@
 
 
 class TestListing(testtools.TestCase):
-    """A listing of the store, taken while other news come in."""
+    """A listing of the store that arrives after other changes."""
 
     def test_newer_entry_survives_an_older_listing(self):
-        # The listing was read before u-2 registered and arrives after the
-        # feed has told of it.
-        known = DeploymentState(FakeCatalogue())
+        # The listing was read before u-2 registered, and arrives after the
+        # feed has added it.
+        known = DeploymentState(FakeRegistry())
         known.apply_items(
             [Item("u-1", at(3), b"x"), Item("u-2", at(9), b"x")], 1.0
         )
@@ -355,9 +356,10 @@
         names = [each.name for each in known.directory.list_all()]
         self.assertEqual(["u-2", "u-3"], sorted(names))
 
-    def test_low_revision_of_a_later_era_is_news(self):
-        # Guards against a version, a leaving and a start that are dropped.
-        known = DeploymentState(FakeCatalogue())
+    def test_low_revision_of_a_later_era_is_applied(self):
+        # Guards against ignoring a policy version, a withdrawal or a new
+        # upstream.
+        known = DeploymentState(FakeRegistry())
         known.apply_items([Item("u-1", at(200), b"x")], 1.0)
         known.record_sync(at(200), 1.0)
         known.apply_listing(
@@ -370,9 +372,9 @@
         names = [each.name for each in known.directory.list_all()]
         self.assertEqual(["u-2"], names)
 
-    def test_high_revision_of_an_earlier_era_is_none(self):
-        # Guards against an answer that was under way during the return.
-        known = DeploymentState(FakeCatalogue())
+    def test_high_revision_of_an_earlier_era_is_ignored(self):
+        # Guards against an answer that was sent before the restore.
+        known = DeploymentState(FakeRegistry())
         known.apply_listing(Listing([], at(9, 1)), 2.0)
         known.record_sync(at(9, 1), 2.0)
         known.apply_items([Item("u-1", at(200), b"x")], 3.0)
--- a/tests/daemons/test_loadreporter.py
+++ b/tests/daemons/test_loadreporter.py
@@ -1,4 +1,4 @@
-"""Tests of what a host counts for the leader."""
+"""Tests of the load that a host reports to the leader."""
 
 import testtools
 
@@ -7,7 +7,7 @@
 
 
 class TestSlowness(testtools.TestCase):
-    """How slow an upstream is, seen through the queue before it."""
+    """Slowness of an upstream, told apart from the length of its queue."""
 
     def setUp(self):
         super().setUp()
@@ -26,10 +26,10 @@
         return seen.slowness / seen.answers
 
     def test_slow_upstream_that_is_full_shows_it(self):
-        # All hosts were killed, the leader knows of no slow upstream, and
-        # each gets as many keys. The slow ones are full from then on: when
-        # answers from a queue said nothing, 15 of 100 callers were refused
-        # for as long as it lasted, while others had room.
+        # After a restart of all hosts the leader knows of no slow upstream and
+        # gives each as many keys, which overloads the slow ones. When answers
+        # of upstreams with a queue were ignored, that lasted: 15 of 100
+        # callers were refused while other upstreams had capacity left.
         for _ in range(10):
             self.note("slow", 0.8, waiting=6)
         self.assertAlmostEqual(2.0, self.find_slowness("slow"), 1)
--- a/tests/daemons/test_orderclient.py
+++ b/tests/daemons/test_orderclient.py
@@ -1,4 +1,4 @@
-"""Tests of orders to upstreams, with real sockets."""
+"""Tests of the order client, with real sockets."""
 
 import struct
 
@@ -18,7 +18,7 @@
 
 
 class TestOrderClient(testtools.TestCase):
-    """Whether an order has left this host, as far as can be known."""
+    """Whether an order that failed may have reached the upstream."""
 
     def setUp(self):
         super().setUp()
@@ -39,10 +39,10 @@
         self.prepared.append(1)
         return 3.5
 
-    def test_reset_of_a_new_connection_proves_that_nothing_left(self):
-        # An upstream is lost behind something that accepts for it. Each
-        # renewal would count as one that may have arrived, and its keys
-        # stay dark for a hold after the last of them.
+    def test_reset_of_a_new_connection_proves_that_nothing_was_sent(self):
+        # An upstream is lost behind a proxy that accepts for it. If each
+        # renewal counted as one that may have arrived, its keys would be
+        # unavailable for a whole hold after the last of them.
         def reset():
             peer, _ = self.listener.accept()
             peer.setsockopt(
@@ -66,7 +66,7 @@
 
 
 class Upstream:
-    """Takes grants, says how many, and can start again."""
+    """Upstream that counts grants and can be restarted."""
 
     def __init__(self):
         self.port = 0
@@ -111,7 +111,7 @@
 
 
 class TestSessions(testtools.TestCase):
-    """What connections tell of a restart before the registry does."""
+    """Detection of a restart by connections, before the registry shows it."""
 
     def setUp(self):
         super().setUp()
@@ -130,8 +130,8 @@
         self.assertEqual(0, self.client.session)
 
     def test_restart_between_two_orders(self):
-        # The upstream crashes and is back within one interval of renewals,
-        # under its name and at its address; its entry comes a second later.
+        # The upstream crashes and restarts at the same address between two
+        # renewals. Its registry entry is updated a second later.
         self.grant()
         self.upstream.stop()
         self.upstream.start()
@@ -139,12 +139,12 @@
         self.assertEqual(1, self.client.session)
 
     def test_refused_connection(self):
-        # A leader that never had a connection meets it while it is down.
+        # The upstream is down when a leader connects for the first time.
         self.upstream.stop()
         self.assertIs(OrderOutcome.UNSENT, self.grant())
         self.assertEqual(1, self.client.session)
 
-    def test_order_in_hand_at_the_crash(self):
+    def test_crash_during_an_order(self):
         self.grant()
 
         def crash():
@@ -156,63 +156,63 @@
         self.assertEqual(1, self.client.session)
 
     def test_restart_while_another_order_is_under_way(self):
-        # Two workers renew. The upstream restarts while the first has its
-        # connection and has not sent yet; the second opens one to the new
-        # start, which knows of no fence and would take the keys at the old
-        # one. Its order must see the restart before it leaves.
+        # Two workers renew. The upstream restarts while the first has a
+        # connection and hasn't sent yet; the second connects to the new
+        # process, which has no fence and would accept the keys at the old
+        # one. The restart must be detected before the second order is sent.
         self.grant()
         sessions = []
 
-        def hold_back():
+        def delay_order():
             gevent.sleep(0.1)
             return 3.5
 
-        def look():
+        def record_session():
             sessions.append(self.client.session)
             return 3.5
 
-        first = gevent.spawn(self.client.grant, KEYS, 1, "", hold_back)
+        first = gevent.spawn(self.client.grant, KEYS, 1, "", delay_order)
         gevent.sleep(0.02)
         self.upstream.stop()
         self.upstream.start()
-        self.client.grant(KEYS, 1, "", look)
+        self.client.grant(KEYS, 1, "", record_session)
         first.join()
         self.assertEqual([1], sessions)
         self.assertEqual(1, self.client.session)
 
-    def test_order_beside_a_sound_one_is_no_restart(self):
+    def test_concurrent_orders_are_no_restart(self):
         self.grant()
 
-        def hold_back():
+        def delay_order():
             gevent.sleep(0.1)
             return 3.5
 
-        first = gevent.spawn(self.client.grant, KEYS, 1, "", hold_back)
+        first = gevent.spawn(self.client.grant, KEYS, 1, "", delay_order)
         gevent.sleep(0.02)
         self.assertIs(OrderOutcome.DONE, self.grant())
         self.assertIs(OrderOutcome.DONE, first.get().taken)
         self.assertEqual(0, self.client.session)
 
     def test_announced_end_of_the_only_connection(self):
-        # An upstream closes a connection now and then. To move its keys to
-        # a new fence each time would keep them dark for nothing.
+        # Upstreams close connections now and then. Assigning a new fence each
+        # time would make their keys unavailable without need.
         self.upstream.answer = CLOSING
         for _ in range(3):
             self.assertIs(OrderOutcome.DONE, self.grant())
         self.assertEqual(0, self.client.session)
 
-    def test_pause_before_the_next_connection_proves_nothing(self):
-        # The answer announces the end of the only connection; this host is
-        # frozen before it reads that, or between it and the next open. What
-        # listens afterwards may be another start.
+    def test_pause_before_the_reconnect_counts_as_a_restart(self):
+        # The answer announces that the only connection closes, and this
+        # process is paused before it reads that or before it reconnects. The
+        # upstream may have restarted meanwhile.
         self.upstream.answer = CLOSING
         self.upstream.pause = 0.2
         self.assertIs(OrderOutcome.DONE, self.grant())
         self.assertEqual(1, self.client.session)
 
     def test_restart_after_the_announced_end_of_the_only_connection(self):
-        # The upstream answers with the wish to close, and ends. Nothing is
-        # open that its next start could close.
+        # The upstream answers with Connection: close and ends, so that no
+        # open connection can show the restart.
         self.upstream.answer = CLOSING
         self.upstream.ends = True
         self.assertIs(OrderOutcome.DONE, self.grant())
@@ -223,8 +223,8 @@
         self.assertEqual(1, self.client.session)
 
     def test_unanswered_order_says_nothing_of_a_restart(self):
-        # Some upstreams leave orders unanswered for seconds. To move their
-        # keys to a new fence each time would cost more than it guards.
+        # Some upstreams leave orders unanswered for seconds. Assigning a new
+        # fence each time would cost more than it protects from.
         self.upstream._serve = lambda peer: gevent.sleep(9)
         self.assertIs(OrderOutcome.UNKNOWN, self.grant())
         self.assertIs(OrderOutcome.UNKNOWN, self.grant())
--- a/tests/daemons/test_orderexecutor.py
+++ b/tests/daemons/test_orderexecutor.py
@@ -1,4 +1,4 @@
-"""Tests of the orders of one term, against an upstream on a real socket."""
+"""Tests of the orders of one term."""
 
 import gevent
 from gevent.event import Event
@@ -19,7 +19,7 @@
 from sedgetide.daemons._orderexecutor import OrderExecutor
 from sedgetide.platform._orders import PlatformOrders
 from sedgetide.runtime.clock import read_clock
-from tests.daemons.test_election import FakeCatalogue
+from tests.daemons.test_election import FakeRegistry
 from tests.daemons.test_orderclient import Upstream
 
 SERVICE = "maps"
@@ -27,7 +27,7 @@
 
 
 class TestRestartedOwner(testtools.TestCase):
-    """No start of an upstream gets keys at a fence of a start before."""
+    """A restarted upstream gets no keys at a fence of its former process."""
 
     def setUp(self):
         super().setUp()
@@ -36,7 +36,7 @@
         durations = Durations(renew=0.1, order_timeout=0.3)
         leadership = Leadership(durations)
         leadership.begin(TERM, read_clock(), read_clock())
-        self.deployment = DeploymentState(FakeCatalogue())
+        self.deployment = DeploymentState(FakeRegistry())
         entry = RegisteredUpstream(
             "u-1", SERVICE, f"127.0.0.1:{self.upstream.port}", "dc", born=5
         )
@@ -47,7 +47,7 @@
         )
         clients = OrderClients(PlatformOrders(), durations.order_timeout)
         clients.update_entries(self.deployment.directory, read_clock())
-        self.addCleanup(clients.forget, ())
+        self.addCleanup(clients.retain, ())
         self.executor = OrderExecutor(
             Term(leadership, durations),
             self.deployment,
@@ -62,11 +62,11 @@
             while not test():
                 gevent.sleep(0.02)
 
-    def test_renewals_stop_before_the_registry_tells(self):
-        # The owner crashes and is back before its next renewal. It knows of
-        # no fence and would take its former start's keys, while nobody has
-        # waited for what that start may still do. The leader gives them anew
-        # at a higher fence instead.
+    def test_renewals_stop_before_the_registry_shows_the_restart(self):
+        # The owner crashes and restarts before its next renewal. It has no
+        # fence and would accept its former process's keys, although nobody
+        # has waited for the requests of that process to end. The leader has
+        # to grant the keys at a higher fence instead.
         self.executor.reconcile(SERVICE, self.table)
         self.wait_for(lambda: self.upstream.grants)
         self.upstream.stop()
@@ -74,18 +74,18 @@
         self.upstream.start()
         fenced = set()
 
-        def is_told():
+        def has_fenced():
             fenced.update(self.executor.pop_fenced(SERVICE))
             return bool(fenced)
 
-        self.wait_for(is_told)
+        self.wait_for(has_fenced)
         gevent.sleep(0.3)
         self.assertEqual([], self.upstream.grants)
         self.assertEqual(set(self.table.tenures), fenced)
 
 
 class SlowClient:
-    """Way to an upstream whose connection opens when the test says so."""
+    """Order client whose connection opens when the test says so."""
 
     session = 0
 
@@ -110,7 +110,7 @@
 
 
 class SlowClients:
-    """One slow way to each upstream."""
+    """A slow client for each upstream."""
 
     def __init__(self, names):
         self.sent = {name: [] for name in names}
@@ -123,16 +123,16 @@
         return ""
 
 
-class TestOrdersHeldUpOnTheirWay(testtools.TestCase):
-    """No order leaves once the table has moved on, however late it can."""
+class TestDelayedOrders(testtools.TestCase):
+    """An order delayed while connecting isn't sent if the table changed."""
 
     def setUp(self):
         super().setUp()
         durations = Durations(renew=60.0)
         leadership = Leadership(durations)
-        # Whatever an earlier leader granted has run out.
+        # Grants of earlier leaders have expired.
         leadership.begin(TERM, read_clock(), read_clock() - 60.0)
-        self.deployment = DeploymentState(FakeCatalogue())
+        self.deployment = DeploymentState(FakeRegistry())
         self.clients = SlowClients(("u-1", "u-2", "u-3"))
         self.moved = []
         self.executor = OrderExecutor(
@@ -146,7 +146,7 @@
         self.revision = 8
         self.table = RangeTable().assign_first([("u-1", 1)])
 
-    def put_in_force(self, table):
+    def write_table(self, table):
         self.revision += 1
         self.table = table
         self.deployment.update_table(
@@ -154,63 +154,63 @@
         )
 
     def reconcile(self, table):
-        self.put_in_force(table)
+        self.write_table(table)
         self.executor.reconcile(SERVICE, table)
 
     def move(self, successor):
         keys = KeyRange(0, 99)
         return self.table.begin([Move(keys, successor)])
 
-    def let_through(self, name):
+    def open_connection(self, name):
         self.clients.clients[name].opened.set()
         gevent.sleep(0.01)
 
     def test_renewal_does_not_follow_the_grant_of_the_next_owner(self):
-        # Two owners of one key at once: the renewal is begun in time, and
-        # its connection opens after its range has gone to another.
+        # Guards against two owners of a key: the renewal starts in time, but
+        # its connection opens after its range has moved to another owner.
         self.reconcile(self.table)
         self.assertTrue(self.clients.clients["u-1"].waiting.wait(1.0))
-        # Nothing was sent to the owner, so nothing has to be waited for.
+        # Nothing was sent to the owner, so the move needn't wait.
         self.reconcile(self.move("u-2"))
-        self.let_through("u-2")
+        self.open_connection("u-2")
         self.assertEqual([("grant", 0, 2)], self.clients.sent["u-2"])
-        self.let_through("u-1")
+        self.open_connection("u-1")
         self.assertNotIn(("grant", 0, 1), self.clients.sent["u-1"])
 
     def test_owners_of_a_later_era_get_no_orders_of_this_term(self):
-        # Guards against two owners: the next leader counts on its own grants
-        # only, once an upstream has given back all keys.
+        # Guards against two owners: the next leader assumes that an upstream
+        # which has released all keys holds only its own grants.
         self.deployment.update_table(
             SERVICE, self.table, Position(1, 2), read_clock()
         )
         self.executor.reconcile(SERVICE, self.table)
-        self.let_through("u-1")
+        self.open_connection("u-1")
         self.assertEqual([], self.clients.sent["u-1"])
 
-    def test_grant_of_a_move_that_was_overtaken_stays_here(self):
-        # Two owners of one key at once: the successor of a move that the
-        # table no longer has is reached after the next one has the keys.
-        self.put_in_force(self.move("u-2"))
+    def test_grant_of_a_superseded_move_is_not_sent(self):
+        # Guards against two owners of a key: the connection to the successor
+        # of a superseded move opens after the next one has the keys.
+        self.write_table(self.move("u-2"))
         tenure = self.table.find(0)
         task = gevent.spawn(self.executor._grant, SERVICE, "u-2", tenure, "")
         self.addCleanup(task.kill)
         self.assertTrue(self.clients.clients["u-2"].waiting.wait(1.0))
-        self.put_in_force(self.table.complete([tenure]))
-        self.put_in_force(self.move("u-3"))
-        self.let_through("u-2")
+        self.write_table(self.table.complete([tenure]))
+        self.write_table(self.move("u-3"))
+        self.open_connection("u-2")
         self.assertEqual([], self.clients.sent["u-2"])
 
-    def test_release_of_a_move_that_was_overtaken_stays_here(self):
-        # Keys go dark: a release sent late takes back what the same
-        # upstream has got again since.
-        self.put_in_force(self.move("u-2"))
+    def test_release_of_a_superseded_move_is_not_sent(self):
+        # Guards against unavailable keys: a late release would take keys that
+        # the same upstream has been granted again since.
+        self.write_table(self.move("u-2"))
         tenure = self.table.find(0)
         task = gevent.spawn(self.executor._release, SERVICE, tenure)
         self.addCleanup(task.kill)
         self.assertTrue(self.clients.clients["u-1"].waiting.wait(1.0))
-        self.put_in_force(self.table.complete([tenure]))
-        self.put_in_force(self.move("u-1"))
-        self.put_in_force(self.table.complete([self.table.find(0)]))
-        self.let_through("u-1")
+        self.write_table(self.table.complete([tenure]))
+        self.write_table(self.move("u-1"))
+        self.write_table(self.table.complete([self.table.find(0)]))
+        self.open_connection("u-1")
         self.assertEqual([], self.clients.sent["u-1"])
         self.assertIsNone(task.get())
--- a/tests/daemons/test_recordkeys.py
+++ b/tests/daemons/test_recordkeys.py
@@ -23,7 +23,7 @@
             self.assertIsNone(leader.service)
 
     def test_eras_share_no_key(self):
-        # Guards against a late write that is in force in a later era.
+        # Guards against a late write that takes effect in a later era.
         keys = {make_ranges_key(era, "eras/1/x") for era in range(3)}
         self.assertEqual(3, len(keys))
         for era in range(3):
--- a/tests/daemons/test_recoverycoordinator.py
+++ b/tests/daemons/test_recoverycoordinator.py
@@ -1,4 +1,4 @@
-"""Tests of how a leader has all upstreams give back their keys."""
+"""Tests of the recovery of ownership in a new era of the store."""
 
 import gevent
 import testtools
@@ -15,14 +15,14 @@
 from sedgetide.daemons._orderclient import OrderResult
 from sedgetide.daemons._recoverycoordinator import RecoveryCoordinator
 from sedgetide.runtime.clock import read_clock
-from tests.daemons.test_election import FakeCatalogue
+from tests.daemons.test_election import FakeRegistry
 
 SERVICE = "maps"
 FIRST = 1 << 32
 
 
 class FakeClient:
-    """Way to an upstream that can be reached, or not."""
+    """Order client of an upstream that can be unreachable."""
 
     def __init__(self):
         self.reachable = True
@@ -40,7 +40,7 @@
 
 
 class FakeClients:
-    """Ways by name; upstreams that are gone stand among the seen ones."""
+    """Clients by name; those of upstreams that have left included."""
 
     def __init__(self, names):
         self.clients = {name: FakeClient() for name in names}
@@ -56,13 +56,13 @@
         return self.addresses.get(name, "")
 
 
-class TestRecoveryDesk(testtools.TestCase):
-    """A new era; the last table known is one of the era before."""
+class TestRecoveryCoordinator(testtools.TestCase):
+    """Recovery in a new era; the last known table is of the former one."""
 
     def setUp(self):
         super().setUp()
         self.durations = Durations()
-        self.deployment = DeploymentState(FakeCatalogue())
+        self.deployment = DeploymentState(FakeRegistry())
         self.table = RangeTable(5).assign_first([("u-1", 1), ("u-2", 1)])
         self.deployment.update_table(SERVICE, self.table, Position(0, 8), 1.0)
         self.clients = FakeClients(("u-1", "u-2", "u-3"))
@@ -78,8 +78,8 @@
         self.addCleanup(self.coordinator.close)
         self.term = term
 
-    def drive(self, seconds=2.0):
-        """Ask for the table until it is there, or for some seconds."""
+    def run_recovery(self, seconds=2.0):
+        """Advance the recovery until it is complete or time is up."""
         with gevent.Timeout(seconds, False):
             while True:
                 table = self.coordinator.recover_table(SERVICE)
@@ -94,86 +94,90 @@
             for name, client in self.clients.clients.items()
         }
 
-    def test_all_give_back_all_keys_at_a_fence_of_the_era(self):
-        # Guards against a key that moved in the seconds that were lost.
+    def test_all_release_all_keys_at_a_fence_of_the_era(self):
+        # Guards against two owners of a key whose move is missing in the
+        # backup.
         self.begin()
-        table = self.drive()
+        table = self.run_recovery()
         self.assertEqual(RangeTable(FIRST, self.table.tenures), table)
         for client in self.clients.clients.values():
             self.assertEqual([(ALL_KEYS, FIRST + 1)], client.released)
-        # What they held before need not be waited for any more.
+        # Earlier grants needn't be waited for any more.
         now = read_clock()
         self.assertTrue(self.term.has_ended("u-3", ALL_KEYS, now, now))
 
-    def test_nobody_gives_back_while_one_can_not_be_reached(self):
-        # Guards against keys that are dark for an upstream that is cut off.
+    def test_nobody_releases_while_one_is_unreachable(self):
+        # Guards against keys that are unavailable because one upstream is
+        # partitioned.
         self.clients.clients["u-3"].reachable = False
         self.begin()
-        self.assertIsNone(self.drive(0.7))
+        self.assertIsNone(self.run_recovery(0.7))
         self.assertEqual(0, sum(self.count_released().values()))
         self.clients.clients["u-3"].reachable = True
         self.leadership.note_read(self.leadership.term, read_clock())
-        self.assertIsNotNone(self.drive())
+        self.assertIsNotNone(self.run_recovery())
 
-    def test_nobody_gives_back_while_the_store_is_silent(self):
-        # Guards against keys that are dark since no table can be written.
+    def test_nobody_releases_while_the_store_is_unavailable(self):
+        # Guards against keys that are unavailable because no table can be
+        # written.
         self.begin()
         silent = read_clock() - 2.1 * self.durations.verify
         self.leadership.begin(self.leadership.term, silent, read_clock())
         self.assertTrue(self.term.may_order(read_clock()))
-        self.assertIsNone(self.drive(0.5))
+        self.assertIsNone(self.run_recovery(0.5))
         self.assertEqual(0, sum(self.count_released().values()))
         self.leadership.note_read(self.leadership.term, read_clock())
-        self.assertIsNotNone(self.drive())
+        self.assertIsNotNone(self.run_recovery())
 
-    def test_unanswered_release_is_none(self):
+    def test_unanswered_release_is_repeated(self):
         self.clients.clients["u-2"].taken = OrderOutcome.UNKNOWN
         self.begin()
-        self.assertIsNone(self.drive(0.7))
+        self.assertIsNone(self.run_recovery(0.7))
         self.assertGreater(self.count_released()["u-2"], 1)
         self.assertEqual(1, self.count_released()["u-1"])
 
-    def test_time_proves_what_nobody_answers(self):
+    def test_recovery_ends_when_all_grants_have_expired(self):
         self.clients.clients["u-3"].reachable = False
         self.begin(took_over=self.durations.max_inherited_hold())
-        self.assertIsNotNone(self.drive())
+        self.assertIsNotNone(self.run_recovery())
         self.assertEqual(0, sum(self.count_released().values()))
 
-    def test_owner_whose_address_another_has_has_ended(self):
+    def test_owner_whose_address_is_reused_has_ended(self):
         now = read_clock()
         self.clients.clients["u-3"].reachable = False
         self.clients.addresses["u-3"] = "1.1.1.3:1"
         entry = RegisteredUpstream("u-9", SERVICE, "1.1.1.3:1", "dc")
         self.deployment.directory.put(entry, now)
         self.begin()
-        self.assertIsNotNone(self.drive())
+        self.assertIsNotNone(self.run_recovery())
 
     def test_owner_at_whose_address_nobody_listens_has_ended(self):
-        # Guards against keys that are dark for ten seconds after a crash.
+        # Guards against keys that are unavailable for ten seconds after a
+        # crash.
         self.clients.clients["u-3"].reachable = False
         self.clients.addresses["u-3"] = "127.0.0.1:1"
         self.begin()
-        self.assertIsNotNone(self.drive())
+        self.assertIsNotNone(self.run_recovery())
 
-    def test_nobody_is_asked_before_the_registry_is_whole(self):
-        # Guards against a young upstream that is missing in the copy.
+    def test_nobody_is_asked_before_all_have_registered_again(self):
+        # Guards against missing a young upstream that isn't in the backup.
         self.deployment.note_era(1, read_clock())
         self.begin()
-        self.assertIsNone(self.drive(0.5))
+        self.assertIsNone(self.run_recovery(0.5))
         self.assertEqual(0, sum(self.count_released().values()))
 
     def test_leader_whose_proof_has_ended_asks_nobody(self):
         self.begin()
         self.leadership.end()
-        self.assertIsNone(self.drive(0.5))
+        self.assertIsNone(self.run_recovery(0.5))
         self.assertEqual(0, sum(self.count_released().values()))
 
-    def test_store_without_eras_needs_none(self):
+    def test_first_era_needs_no_recovery(self):
         self.begin(era=0)
         self.assertEqual(self.table, self.coordinator.recover_table(SERVICE))
 
-    def test_it_is_done_once_in_a_term(self):
+    def test_recovery_runs_once_in_a_term(self):
         self.begin()
-        self.drive()
+        self.run_recovery()
         self.assertIsNotNone(self.coordinator.recover_table(SERVICE))
         self.assertEqual({1}, set(self.count_released().values()))
--- a/tests/daemons/test_renewal.py
+++ b/tests/daemons/test_renewal.py
@@ -1,4 +1,4 @@
-"""Tests of the renewal of all that an upstream owns."""
+"""Tests of the renewal of an upstream's grants."""
 
 import collections
 
@@ -13,7 +13,7 @@
 
 
 class TestRenewGrants(testtools.TestCase):
-    """Every range is renewed in every round, whatever becomes of others."""
+    """Every range is renewed in every round, even if others fail."""
 
     def renew(self, grant):
         self.counts = collections.Counter()
@@ -25,9 +25,9 @@
         return renew_grants(TENURES, count)
 
     def test_unanswered_order_does_not_starve_the_others(self):
-        # The upstream leaves one grant in ten unanswered. Ending the round
-        # there, the ranges behind it run out after a few rounds, and their
-        # callers get refusals though owner and leader are well.
+        # The upstream leaves one grant in ten unanswered. If the round ended
+        # there, the grants of all later ranges would expire after a few
+        # rounds and their callers would be refused.
         def grant(tenure):
             return (
                 OrderOutcome.UNKNOWN if tenure.low == 2 else OrderOutcome.DONE
--- a/tests/daemons/test_restored_store.py
+++ b/tests/daemons/test_restored_store.py
@@ -1,4 +1,4 @@
-"""A store that comes back from an older copy, with real processes."""
+"""Tests of a store that is restored from a backup, with real processes."""
 
 import pathlib
 import shutil
@@ -17,23 +17,24 @@
 
 CALLERS = 8
 KEYED, PLAIN = 1, 5
-# Writes that nobody repeats, so that the store gets to their revisions late.
+# Writes that are lost and not repeated, so that it takes long until the store
+# assigns their revisions again.
 LOST_WRITES = 200
-# Seconds; the copy is older than the lost writes.
-AGE = 1.5
-AWAY = 0.7
+# Seconds; the backup was made before the lost writes.
+BACKUP_AGE = 1.5
+OUTAGE = 0.7
 IN_FORCE_WITHIN = 2.0
-# Entries may be missing before, so that one taken away is not believed.
+# Seconds; before that, a removed entry is taken for one missing in the backup.
 STABLE_AFTER = 3.0
 RECOVERED_WITHIN = 8.0
 _KEPT = pathlib.Path("build")
 
 
 class TestRestoredStore(testtools.TestCase):
-    """What callers see after the return."""
+    """Behaviour observed by callers after the restore."""
 
     def start(self, era):
-        """Start a fleet and callers."""
+        """Start hosts, upstreams and callers."""
         folder = pathlib.Path(self.enterContext(tempfile.TemporaryDirectory()))
         self.addOnException(
             lambda _: shutil.copytree(
@@ -48,37 +49,38 @@
         self.addCleanup(gevent.killall, tasks)
 
     def lose_writes(self):
-        """Have the store come back without its last writes."""
-        gevent.sleep(AGE)
+        """Restore the store from a backup that lacks the last writes."""
+        gevent.sleep(BACKUP_AGE)
         for number in range(LOST_WRITES):
             self.fleet.put(f"other/{number}", number)
         self.fleet.configure(2, ())
-        self.fleet.restore_store(AGE, AWAY)
+        self.fleet.restore_store(BACKUP_AGE, OUTAGE)
 
     def check_later_version(self, era):
-        """Write a version after the return and ask every host for it."""
+        """Check that every host gets a version written after the restore."""
         self.start(era)
         self.lose_writes()
-        gevent.sleep(AWAY)
+        gevent.sleep(OUTAGE)
         self.fleet.configure(3, ("fresh",))
         gevent.sleep(IN_FORCE_WITHIN)
         promises = Promises(self.fleet, 0.0)
         promises.check_configuration(["fresh"])
         self.assertEqual([], promises.problems)
 
-    def test_version_after_the_return(self):
-        # Guards against news that is dropped for its low revision.
+    def test_version_after_the_restore(self):
+        # Guards against ignoring a version because of its low revision.
         self.check_later_version(6)
 
-    def test_version_after_the_first_return(self):
-        # Guards against the same where no era was named before.
+    def test_version_after_the_first_restore(self):
+        # Guards against the same fault when the store had no era before.
         self.check_later_version(0)
 
-    def test_leaving_after_the_return(self):
-        # Guards against sends to upstreams whose leaving is news of this kind.
+    def test_leaving_after_the_restore(self):
+        # Guards against sends to upstreams whose announced shutdown is ignored
+        # because of its low revision.
         self.start(6)
         self.lose_writes()
-        gevent.sleep(AWAY)
+        gevent.sleep(OUTAGE)
         self.fleet.upstreams[KEYED].program.signal(signal.SIGUSR1)
         gevent.sleep(STABLE_AFTER)
         self.fleet.upstreams[PLAIN].program.signal(signal.SIGUSR2)
@@ -88,23 +90,24 @@
         self.assertEqual([], find_late_sends(events, []))
 
     def test_leaving_that_is_lost(self):
-        # Guards against sends to upstreams that the copy shows as ready.
+        # Guards against sends to upstreams that are ready in the backup.
         self.start(6)
-        gevent.sleep(AGE)
+        gevent.sleep(BACKUP_AGE)
         self.fleet.upstreams[KEYED].program.signal(signal.SIGUSR1)
         self.fleet.upstreams[PLAIN].program.signal(signal.SIGUSR2)
         gevent.sleep(DRAINED_WITHIN)
         for _ in range(2):
-            self.fleet.restore_store(AGE + DRAINED_WITHIN, 0.1)
+            self.fleet.restore_store(BACKUP_AGE + DRAINED_WITHIN, 0.1)
             gevent.sleep(1.0)
         events = self.fleet.read_events()
         self.assertEqual(2, sum(each.kind == "left" for each in events))
         self.assertEqual([], find_late_sends(events, []))
 
-    def test_callers_are_served_through_a_return(self):
-        # Guards against keys that are dark for as long as grants may hold.
+    def test_callers_are_served_through_a_restore(self):
+        # Guards against keys that are unavailable until all earlier grants
+        # have expired.
         self.start(6)
-        self.fleet.restore_store(AGE, AWAY)
+        self.fleet.restore_store(BACKUP_AGE, OUTAGE)
         gevent.sleep(RECOVERED_WITHIN)
         asked = [ask for each in self.callers for ask in each.asked]
         late = [ask for ask in asked if ask.at < asked[-1].at - DEADLINE]
--- a/tests/daemons/test_storetask.py
+++ b/tests/daemons/test_storetask.py
@@ -1,4 +1,4 @@
-"""Tests of writes of the assignment whose answers are lost."""
+"""Tests of the watch of the store and of writes with lost answers."""
 
 import testtools
 
@@ -33,7 +33,7 @@
         self.lose_answer = False
         self.lose_request = False
         self.lose_read = False
-        self.meanwhile = None
+        self.concurrent_write = None
 
     def read(self, key):
         if self.lose_read:
@@ -47,8 +47,8 @@
         if self.lose_request:
             raise StoreError(ErrorCode.STORE_UNCERTAIN, Step.WRITE)
         result = self.model.swap(key, value, expected)
-        if self.meanwhile is not None:
-            other = encode_assignment(self.meanwhile)
+        if self.concurrent_write is not None:
+            other = encode_assignment(self.concurrent_write)
             self.model.swap(key, other, result.revision)
         if not result.swapped:
             raise StoreConflict(Step.WRITE, "", expected, result.revision)
@@ -77,14 +77,14 @@
     def handle_proof(self, asked_at, revision, record):
         pass
 
-    def set_store_unavailable(self, away):
+    def set_store_unavailable(self, unavailable):
         pass
 
 
 class WatchTest(testtools.TestCase):
     def test_first_write_of_an_empty_store_is_noticed(self):
-        # Daemons were started before the operators put their first text in
-        # force. It had revision 1, and no daemon ever learnt of it.
+        # Guards against daemons that, started on an empty store, never notice
+        # the first configuration, which has revision 1.
         store, listener = FakeStore(), FakeListener()
         task = StoreTask(store, KEY, 1.0, listener)
         task.watch_once()
@@ -110,16 +110,16 @@
         self.assertEqual((1, "own"), self.swap())
 
     def test_lost_answer_of_a_write_that_took_effect(self):
-        # The assigner saw a failure and would plan the same change again
-        # from a revision that is no longer there.
+        # Guards against an assigner that assumes a failure and plans the same
+        # change again, based on an outdated revision.
         self.store.lose_answer = True
         self.assertEqual((1, "own"), self.swap())
 
     def test_lost_answer_and_another_write_since(self):
-        # What was read back is another's change; taking its revision for
-        # that of the own one would put the own one in force.
+        # Guards against taking the revision of another writer's change, which
+        # is read back, for that of this writer's.
         self.store.lose_answer = True
-        self.store.meanwhile = make_assignment("other")
+        self.store.concurrent_write = make_assignment("other")
         self.assertEqual((2, "other"), self.swap())
 
     def test_write_that_never_arrived(self):
--- a/tests/daemons/test_storewatcher.py
+++ b/tests/daemons/test_storewatcher.py
@@ -1,4 +1,4 @@
-"""Tests of how often a host asks the store."""
+"""Tests of how often a host calls the store."""
 
 import contextlib
 
@@ -12,31 +12,31 @@
 from sedgetide.daemons._storewatcher import choose_watch_delay
 from sedgetide.daemons._storewatcher import StoreWatcher
 from sedgetide.testing.leasestore import LeaseStoreModel
-from tests.daemons.test_election import FakeCatalogue
+from tests.daemons.test_election import FakeRegistry
 from tests.daemons.test_election import ModelStore
 
 
 class TestChooseWatchDelay(testtools.TestCase):
-    """The leader is lost, and sixty hosts watch the store themselves.
+    """Sixty hosts watch the store themselves after the leader is lost.
 
-    Upstreams register and warm up, thirty events a second. With a call for
-    each event and host the store answers 429 to the one that stands to
-    lead, too, and the keys stay dark for longer.
+    Upstreams register and warm up, which makes thirty events a second. With
+    a call for each event and host, the store would answer 429 to the host
+    that runs for leader, too, and keys would be unavailable for longer.
     """
 
-    def test_host_gathers_what_comes_in_quick_succession(self):
-        calls = 1.0 / choose_watch_delay(leading=False, news=1)
+    def test_host_batches_events_in_quick_succession(self):
+        calls = 1.0 / choose_watch_delay(leading=False, event_count=1)
         self.assertLess(60 * calls, 600)
 
-    def test_nothing_is_put_off_where_there_is_no_news(self):
-        self.assertEqual(0.0, choose_watch_delay(leading=False, news=0))
+    def test_no_delay_without_events(self):
+        self.assertEqual(0.0, choose_watch_delay(leading=False, event_count=0))
 
-    def test_leader_acts_at_once(self):
-        self.assertEqual(0.0, choose_watch_delay(leading=True, news=5))
+    def test_leader_never_waits(self):
+        self.assertEqual(0.0, choose_watch_delay(leading=True, event_count=5))
 
 
 class LosingStore(ModelStore):
-    """Lists what it holds, and remembers no history at all."""
+    """Store without a history, whose watches always fail."""
 
     def __init__(self, model):
         super().__init__(model)
@@ -54,12 +54,12 @@
 
 
 class TestStoreWatcher(testtools.TestCase):
-    """What a host asks of the store again and again."""
+    """Repeated calls of a host to the store."""
 
-    def test_history_that_stays_lost_is_asked_for_at_intervals(self):
-        # Guards against sixty whole listings a second, of each host.
+    def test_lost_history_is_retried_at_intervals(self):
+        # Guards against sixty complete listings a second by each host.
         store = LosingStore(LeaseStoreModel())
-        deployment = DeploymentState(FakeCatalogue())
+        deployment = DeploymentState(FakeRegistry())
         watcher = StoreWatcher(
             store, "", deployment, lambda: False, lambda: True
         )
