--- a/sedgetide/daemons/_loadreporter.py
+++ b/sedgetide/daemons/_loadreporter.py
@@ -1,4 +1,4 @@
-"""Load of the own requests, told to the leader."""
+"""Reports of the load of this host's requests to the leader."""
 
 import contextlib
 from typing import Protocol
@@ -18,12 +18,12 @@
 from sedgetide.runtime.tasks import spawn_vital
 
 _INTERVAL = 0.4
-_MOST_KEYS = 400
-_FIRST_GUESS = 0.2
-_GAIN = 0.05
+_MAX_KEYS = 400
+_INITIAL_SERVICE_TIME = 0.2
+_SMOOTHING_FACTOR = 0.05
 
 
-class _Seen:
+class _UpstreamCounters:
     def __init__(self) -> None:
         self.answers = 0
         self.slowness = 0.0
@@ -31,25 +31,25 @@
 
 
 class LoadMeter:
-    """Counts work by key and how upstreams do, between two reports.
+    """Measures work by key and slowness of upstreams between two reports.
 
-    The work that a request asks for is what requests of its route usually
-    take at an upstream where nobody waits; the time that it takes itself
-    says more of the upstream.
+    The work of a request is estimated by the average service time of its
+    route at upstreams without a queue. The time that the request itself
+    takes says more about the upstream, and is used to estimate its slowness.
     """
 
     def __init__(self) -> None:
         self._keys: dict[tuple[ServiceName, Key], float] = {}
-        self._upstreams: dict[IncarnationName, _Seen] = {}
-        self._usual: dict[RouteName, float] = {}
+        self._upstreams: dict[IncarnationName, _UpstreamCounters] = {}
+        self._service_times: dict[RouteName, float] = {}
 
     def note_request(
         self, route: RouteName, service: ServiceName, key: Key
     ) -> None:
         """Count a request about a key."""
-        work = self._usual.get(route, _FIRST_GUESS)
-        place = (service, key)
-        self._keys[place] = self._keys.get(place, 0.0) + work
+        work = self._service_times.get(route, _INITIAL_SERVICE_TIME)
+        work_key = (service, key)
+        self._keys[work_key] = self._keys.get(work_key, 0.0) + work
 
     def note_answer(
         self,
@@ -58,32 +58,35 @@
         seconds: float,
         load: UpstreamLoad | None,
     ) -> None:
-        """Take in the time of an answer."""
-        usual = self._usual.get(route, _FIRST_GUESS)
-        seen = self._upstreams.setdefault(upstream, _Seen())
-        seen.answers += 1
+        """Record the time of an answer."""
+        service_time = self._service_times.get(route, _INITIAL_SERVICE_TIME)
+        counters = self._upstreams.setdefault(upstream, _UpstreamCounters())
+        counters.answers += 1
         if load is not None and load.waiting > 0:
-            # A slow upstream is the first to be full, and stays so: left
-            # out, its answers never show that it is slow, and it is given
-            # as many keys as the others.
+            # Answers of upstreams with a queue count towards slowness: a slow
+            # upstream is the first to have one and keeps it. Otherwise it
+            # would never be recognized as slow, and get as many keys as the
+            # others.
             in_queue = load.waiting / max(1, load.slots)
-            seen.slowness += seconds / (1.0 + in_queue) / usual
+            counters.slowness += seconds / (1.0 + in_queue) / service_time
             return
-        seen.slowness += seconds / usual
-        bounded = min(seconds, 4 * usual)
-        self._usual[route] = usual + _GAIN * (bounded - usual)
+        counters.slowness += seconds / service_time
+        bounded = min(seconds, 4 * service_time)
+        self._service_times[route] = service_time + _SMOOTHING_FACTOR * (
+            bounded - service_time
+        )
 
     def note_failure(self, upstream: IncarnationName) -> None:
-        """Count a request without a usable answer."""
-        self._upstreams.setdefault(upstream, _Seen()).failures += 1
+        """Count a request that got no usable answer."""
+        self._upstreams.setdefault(upstream, _UpstreamCounters()).failures += 1
 
-    def take_report(self, position: Position) -> LoadReport:
-        """Return what was counted, and begin anew.
+    def collect_report(self, position: Position) -> LoadReport:
+        """Return a report of all counts and reset them.
 
         Parameters
         ----------
         position : Position
-            Up to which the store's items are known.
+            Position up to which this host is synced with the store.
         """
         keys = [
             KeyWork(service, key, round(seconds, 4))
@@ -92,53 +95,56 @@
         keys.sort(key=lambda each: -each.seconds)
         upstreams = [
             UpstreamWork(
-                name, seen.answers, round(seen.slowness, 3), seen.failures
+                name,
+                counters.answers,
+                round(counters.slowness, 3),
+                counters.failures,
             )
-            for name, seen in self._upstreams.items()
+            for name, counters in self._upstreams.items()
         ]
         self._keys.clear()
         self._upstreams.clear()
-        return LoadReport(keys[:_MOST_KEYS], upstreams, position)
+        return LoadReport(keys[:_MAX_KEYS], upstreams, position)
 
 
-class ReportReceiver(Protocol):
-    """Who gets the reports."""
+class ReportTransport(Protocol):
+    """Sends reports to the current leader."""
 
     def find_leader_link(self) -> LinkAddress | None:
-        """Return where the leader takes reports; None when unknown."""
+        """Return the link address of the leader; None if unknown."""
 
     def find_position(self) -> Position:
-        """Return up to which the store's items are known."""
+        """Return the position up to which this host is synced."""
 
     def send_report(self, link: LinkAddress, report: LoadReport) -> None:
-        """Hand a report over."""
+        """Send a report to a link address."""
 
 
 class LoadReporter:
-    """Sends what was counted at short intervals.
+    """Sends load reports to the leader at short intervals.
 
     Parameters
     ----------
     meter : LoadMeter
-        What counts.
-    receiver : ReportReceiver
-        Who gets it.
+        Source of the reports.
+    transport : ReportTransport
+        Sends them to the leader.
     """
 
-    def __init__(self, meter: LoadMeter, receiver: ReportReceiver) -> None:
+    def __init__(self, meter: LoadMeter, transport: ReportTransport) -> None:
         self._meter = meter
-        self._receiver = receiver
+        self._transport = transport
 
     def start(self, stack: contextlib.ExitStack) -> None:
-        """Begin to send."""
+        """Start the task."""
         spawn_vital(self._loop, stack)
 
     def _loop(self) -> None:
         while True:
             gevent.sleep(_INTERVAL)
-            link = self._receiver.find_leader_link()
+            link = self._transport.find_leader_link()
             if link is None:
                 continue
-            position = self._receiver.find_position()
-            report = self._meter.take_report(position)
-            self._receiver.send_report(link, report)
+            position = self._transport.find_position()
+            report = self._meter.collect_report(position)
+            self._transport.send_report(link, report)
--- a/sedgetide/daemons/_orderexecutor.py
+++ b/sedgetide/daemons/_orderexecutor.py
@@ -1,4 +1,4 @@
-"""Orders of one term: grants renewed, ranges brought to their successors."""
+"""Sends the orders of one term: renewals of grants, and moves of ranges."""
 
 from collections.abc import Callable
 from collections.abc import Collection
@@ -21,40 +21,40 @@
 from sedgetide.daemons._orderclient import OrderClient
 from sedgetide.daemons._orderclient import OrderOutcome
 from sedgetide.daemons._orderclient import OrderResult
-from sedgetide.daemons._renewal import renew_round
+from sedgetide.daemons._renewal import renew_grants
 from sedgetide.runtime.clock import read_clock
 from sedgetide.runtime.events import Event
 from sedgetide.runtime.events import log_event
 from sedgetide.runtime.signals import ChangeSignal
 
-_RETRY_PAUSE = 0.2
-# A timer of no time at all would end the release before it is sent.
-_LEAST_WAIT = 0.01
-_GRANT_TRIES = 3
-# Grants of two tables with 24 ranges an upstream, at 300 upstreams.
-_MOST_SESSIONS = 16_000
+_RETRY_DELAY = 0.2
+# Seconds; a timeout of zero would cancel the release before it is sent.
+_MIN_RELEASE_TIMEOUT = 0.01
+_GRANT_ATTEMPTS = 3
+# About the grants of two tables with 24 ranges for each of 300 upstreams.
+_MAX_SESSIONS = 16_000
 
 
 class OrderClients:
-    """Ways on which orders go, kept over all terms of a host.
+    """Order clients of all upstreams, kept across the terms of a host.
 
     Parameters
     ----------
     dialect : OrderDialect
-        Form of the orders.
+        Encodes orders for the upstreams.
     grant_timeout : float
-        Seconds after which an unanswered grant is taken back.
+        Seconds after which an unanswered grant is aborted.
     """
 
     def __init__(self, dialect: OrderDialect, grant_timeout: float) -> None:
         self._dialect = dialect
         self._grant_timeout = grant_timeout
-        self._lanes: dict[IncarnationName, OrderClient] = {}
+        self._clients: dict[IncarnationName, OrderClient] = {}
         self._entries: dict[IncarnationName, RegisteredUpstream] = {}
         self._seen_at: dict[IncarnationName, float] = {}
 
-    def note_addresses(self, directory: UpstreamDirectory, now: float) -> None:
-        """Remember where upstreams are, also once they have left."""
+    def update_entries(self, directory: UpstreamDirectory, now: float) -> None:
+        """Store the current entries, kept also after upstreams have left."""
         for entry in directory.list_all():
             self._entries[entry.name] = entry
             self._seen_at[entry.name] = now
@@ -62,7 +62,7 @@
     def list_seen(
         self, service: ServiceName, since: float
     ) -> list[IncarnationName]:
-        """Return the upstreams of a service that were there at some time."""
+        """Return a service's upstreams last seen at or after a time."""
         return [
             name
             for name, seen_at in self._seen_at.items()
@@ -70,48 +70,53 @@
         ]
 
     def find_address(self, upstream: IncarnationName) -> str:
-        """Return where an upstream is or was; empty when unknown."""
+        """Return an upstream's last known address; empty when unknown."""
         entry = self._entries.get(upstream)
         return "" if entry is None else entry.address
 
     def find(self, upstream: IncarnationName) -> OrderClient | None:
-        """Return the way to an upstream, if its address is known."""
-        lane = self._lanes.get(upstream)
+        """Return the client of an upstream; None without an address."""
+        client = self._clients.get(upstream)
         entry = self._entries.get(upstream)
-        if lane is None and entry is not None:
-            lane = OrderClient(
+        if client is None and entry is not None:
+            client = OrderClient(
                 entry.registered_name,
                 entry.address,
                 self._dialect,
                 self._grant_timeout,
             )
-            self._lanes[upstream] = lane
-        return lane
+            self._clients[upstream] = client
+        return client
 
-    def forget(self, known: Collection[IncarnationName]) -> None:
-        """Forget upstreams that are not among the known ones."""
+    def retain(self, known: Collection[IncarnationName]) -> None:
+        """Drop the state of upstreams that aren't among the known ones."""
         for name in list(self._entries):
             if name not in known:
                 del self._entries[name]
                 del self._seen_at[name]
-        for name in list(self._lanes):
+        for name in list(self._clients):
             if name not in known:
-                self._lanes.pop(name).close()
+                self._clients.pop(name).close()
 
 
 class OrderExecutor:
-    """Gives the orders of one term, by the tables that are in force.
+    """Carries out the tables of owners during one term of the leader.
+
+    A grant lets an upstream serve a range for a limited time, its *hold*.
+    A task for each owner renews its grants. A task for each move releases
+    the range from its old owner, or waits until that owner's grant has
+    certainly expired, and then grants it to the successor.
 
     Parameters
     ----------
     term : Term
-        What may be ordered, and what must be waited for.
-    knowledge : DeploymentState
-        Owners, as the store acknowledged them.
-    lanes : OrderClients
-        Ways to upstreams.
+        Whether orders may be sent, and how long granted ranges may be held.
+    deployment : DeploymentState
+        Tables of owners that the store has acknowledged.
+    clients : OrderClients
+        Clients of the upstreams.
     durations : Durations
-        On which single ownership rests.
+        Timeouts that guarantee a single owner for each range.
     on_moved : callable
         Called when a range has its new owner.
     """
@@ -120,18 +125,18 @@
         self,
         term: Term,
         deployment: DeploymentState,
-        lanes: OrderClients,
+        clients: OrderClients,
         durations: Durations,
         on_moved: Callable[[ServiceName, Tenure], None],
     ) -> None:
         self.term = term
         self._deployment = deployment
-        self._lanes = lanes
+        self._clients = clients
         self._durations = durations
         self._on_moved = on_moved
         self._renewals: dict[IncarnationName, gevent.Greenlet] = {}
         self._moves: dict[tuple[ServiceName, Tenure], gevent.Greenlet] = {}
-        self._stopped: dict[ServiceName, set[Tenure]] = {}
+        self._completed: dict[ServiceName, set[Tenure]] = {}
         self._fenced: dict[ServiceName, set[Tenure]] = {}
         self._sessions: dict[tuple[IncarnationName, Fence], int] = {}
         self._renew_now = ChangeSignal()
@@ -142,7 +147,7 @@
         return len(self._moves)
 
     def close(self) -> None:
-        """Give no more orders."""
+        """Cancel all renewals and moves."""
         for task in [*self._renewals.values(), *self._moves.values()]:
             task.kill(block=False)
         self._renewals.clear()
@@ -152,19 +157,19 @@
         """Renew all grants now."""
         self._renew_now.notify_all()
 
-    def list_ended(self, service: ServiceName) -> set[Tenure]:
-        """Return moves that have ended and may not be written down yet."""
-        return self._stopped.get(service, set())
+    def list_completed(self, service: ServiceName) -> set[Tenure]:
+        """Return completed moves that the table may not show yet."""
+        return self._completed.get(service, set())
 
     def note_written(self, service: ServiceName, table: RangeTable) -> None:
-        """Forget ended moves that the record shows as ended."""
-        ended = self.list_ended(service)
-        self._stopped[service] = ended.intersection(table.tenures)
-        if len(self._sessions) > _MOST_SESSIONS:
-            self._forget_sessions()
-
-    def _forget_sessions(self) -> None:
-        """Forget grants of ranges that have moved on."""
+        """Drop completed moves that the written table has applied."""
+        ended = self.list_completed(service)
+        self._completed[service] = ended.intersection(table.tenures)
+        if len(self._sessions) > _MAX_SESSIONS:
+            self._prune_sessions()
+
+    def _prune_sessions(self) -> None:
+        """Drop sessions of grants that are in no current table."""
         current = set()
         for known in self._deployment.tables.values():
             for tenure in known.table.tenures:
@@ -173,24 +178,26 @@
         for grant in self._sessions.keys() - current:
             del self._sessions[grant]
 
-    def take_fenced(self, service: ServiceName) -> set[Tenure]:
-        """Return ranges whose fence was passed by, and forget them."""
+    def pop_fenced(self, service: ServiceName) -> set[Tenure]:
+        """Return and clear the ranges that need a higher fence."""
         return self._fenced.pop(service, set())
 
-    def follow(self, service: ServiceName, table: RangeTable) -> None:
-        """Begin what a table asks for, and end what it no longer does."""
+    def reconcile(self, service: ServiceName, table: RangeTable) -> None:
+        """Start the tasks that a table requires and cancel the others."""
         moving = set(table.list_moving())
         for tenure in moving:
-            place = (service, tenure)
-            stopped = tenure in self.list_ended(service)
-            if place not in self._moves and not stopped:
-                self._moves[place] = gevent.spawn(self._move, service, tenure)
-        for place, task in list(self._moves.items()):
+            move_key = (service, tenure)
+            stopped = tenure in self.list_completed(service)
+            if move_key not in self._moves and not stopped:
+                self._moves[move_key] = gevent.spawn(
+                    self._move, service, tenure
+                )
+        for move_key, task in list(self._moves.items()):
             if task.ready() or (
-                place[0] == service and place[1] not in moving
+                move_key[0] == service and move_key[1] not in moving
             ):
                 task.kill(block=False)
-                del self._moves[place]
+                del self._moves[move_key]
         for owner in {each.owner for each in table.tenures}:
             task = self._renewals.get(owner)
             if task is None or task.ready():
@@ -199,73 +206,74 @@
                 )
 
     def _move(self, service: ServiceName, tenure: Tenure) -> None:
-        """Bring one range from its owner to its successor."""
+        """Move a range from its owner to its successor."""
         handover = self._stop_owner(service, tenure)
         if handover is None:
             return
-        for _ in range(_GRANT_TRIES):
+        for _ in range(_GRANT_ATTEMPTS):
             now = read_clock()
             if not self.term.may_order(now):
                 return
             taken = self._grant(service, tenure.successor, tenure, handover)
             if taken is OrderOutcome.DONE:
                 break
-            gevent.sleep(_RETRY_PAUSE)
-        # Without its answer the successor owns it all the same: its
-        # renewals go on, and if it is gone the range moves on.
-        self._stopped.setdefault(service, set()).add(tenure)
+            gevent.sleep(_RETRY_DELAY)
+        # The successor becomes the owner even without its answer: its grant
+        # is renewed, and if it is lost the range moves again.
+        self._completed.setdefault(service, set()).add(tenure)
         MOVES.labels(service).inc()
         self._on_moved(service, tenure)
 
     def _stop_owner(self, service: ServiceName, tenure: Tenure) -> str | None:
-        """Make sure that the owner has stopped; return what it hands over.
+        """Wait until the owner has certainly stopped serving a range.
 
         Returns
         -------
         str or None
-            None when this host may give no more orders.
+            State handed over with the release, or an empty string; None when
+            this host may send no more orders.
         """
         began = read_clock()
         while True:
             now = read_clock()
             if not self.term.may_order(now):
                 return None
-            if self._has_ended(service, tenure, now):
-                self._tell_stopped(service, tenure, "ended", now - began)
+            if self._is_hold_over(service, tenure, now):
+                self._log_owner_stopped(service, tenure, "ended", now - began)
                 return ""
-            end = self._find_end(service, tenure)
-            # A release that is not answered must not outlast the hold: the
-            # keys would stay dark for the rest of its 0.7 s for nothing.
-            with gevent.Timeout(max(_LEAST_WAIT, end - now), False):
+            end = self._find_hold_end(service, tenure)
+            # Waiting for an unanswered release past the end of the hold
+            # would keep the keys unavailable for up to another 0.7 s.
+            with gevent.Timeout(max(_MIN_RELEASE_TIMEOUT, end - now), False):
                 result = self._release(service, tenure)
                 if result is not None:
                     proof = result.taken.value
-                    self._tell_stopped(
+                    self._log_owner_stopped(
                         service, tenure, proof, read_clock() - began
                     )
                     return result.handover
-                gevent.sleep(_RETRY_PAUSE)
+                gevent.sleep(_RETRY_DELAY)
 
     def _release(
         self, service: ServiceName, tenure: Tenure
     ) -> OrderResult | None:
-        """Take a range back; None when nothing proves that it stopped."""
-        lane = self._lanes.find(tenure.owner)
-        if lane is None:
+        """Release a range; return None unless its owner has stopped."""
+        client = self._clients.find(tenure.owner)
+        if client is None:
             return None
 
-        def may_leave() -> bool:
+        def may_send() -> bool:
             if not self.term.may_order(read_clock()):
                 return False
             return self._is_current(service, tenure)
 
-        result = lane.release(tenure.keys, tenure.fence, may_leave)
+        result = client.release(tenure.keys, tenure.fence, may_send)
         if result.taken not in (OrderOutcome.DONE, OrderOutcome.FOREIGN):
             return None
         self.term.note_release(tenure.owner, tenure.keys)
         return result
 
-    def _tell_stopped(
+    def _log_owner_stopped(
         self,
         service: ServiceName,
         tenure: Tenure,
@@ -283,18 +291,18 @@
             seconds=f"{seconds:.2f}",
         )
 
-    def _has_ended(
+    def _is_hold_over(
         self, service: ServiceName, tenure: Tenure, now: float
     ) -> bool:
-        """Tell whether the owner can not hold the range any longer."""
-        address = self._lanes.find_address(tenure.owner)
+        """Return whether the owner's hold of the range is over."""
+        address = self._clients.find_address(tenure.owner)
         if self._deployment.directory.is_address_reused(tenure.owner, address):
             return True
         since = self._deployment.find_known_since(service, tenure)
         return self.term.has_ended(tenure.owner, tenure.keys, since, now)
 
-    def _find_end(self, service: ServiceName, tenure: Tenure) -> float:
-        """Return when the owner's hold of a range has certainly run out."""
+    def _find_hold_end(self, service: ServiceName, tenure: Tenure) -> float:
+        """Return when the owner's hold of a range has certainly expired."""
         since = self._deployment.find_known_since(service, tenure)
         return self.term.find_hold_end(tenure.owner, tenure.keys, since)
 
@@ -305,8 +313,8 @@
         tenure: Tenure,
         handover: str,
     ) -> OrderOutcome:
-        lane = self._lanes.find(upstream)
-        if lane is None:
+        client = self._clients.find(upstream)
+        if client is None:
             return OrderOutcome.UNSENT
         grants: list[Grant] = []
         granted = (upstream, tenure.fence)
@@ -314,14 +322,14 @@
 
         def prepare() -> float | None:
             nonlocal restarted
-            # Opening a connection takes up to half a second, and what was
-            # never sent is not waited for when the range moves on.
+            # Checked after connecting, which takes up to half a second: a
+            # move doesn't wait for grants that haven't been sent.
             if not self._is_current(service, tenure):
                 return None
-            # A restarted upstream has seen no fence and would take the keys
-            # under one at which its former start had them.
-            known = self._sessions.setdefault(granted, lane.session)
-            restarted = known != lane.session
+            # A restarted upstream has seen no fence and would accept the keys
+            # at the one under which its former process had them.
+            known = self._sessions.setdefault(granted, client.session)
+            restarted = known != client.session
             if restarted:
                 return None
             grant = self.term.prepare_grant(
@@ -333,23 +341,23 @@
             return grant.life
 
         try:
-            result = lane.grant(tenure.keys, tenure.fence, handover, prepare)
+            result = client.grant(tenure.keys, tenure.fence, handover, prepare)
             if result.taken is OrderOutcome.FOREIGN:
                 self._deployment.directory.note_foreign(upstream, read_clock())
             return OrderOutcome.RESTARTED if restarted else result.taken
         finally:
-            # Answered or taken back: it arrives no later than now.
+            # It was answered or aborted, so it can't arrive after now.
             for grant in grants:
                 self.term.note_arrival(grant, read_clock())
 
     def _renew(self, service: ServiceName, owner: IncarnationName) -> None:
-        """Renew all that one upstream owns, again and again."""
+        """Renew the grants of one owner at intervals."""
         while True:
             table = self._find_table(service)
             owned = [] if table is None else table.list_owned(owner)
             if not owned:
                 return
-            results = renew_round(
+            results = renew_grants(
                 owned, lambda tenure: self._renew_one(service, tenure)
             )
             for tenure, taken in results.items():
@@ -367,18 +375,19 @@
         return self._grant(service, tenure.owner, tenure, "")
 
     def _is_current(self, service: ServiceName, tenure: Tenure) -> bool:
-        """Tell whether the table still shows a range as it was.
+        """Return whether a tenure is unchanged in the current table.
 
-        A renewal must not follow the release of a part of its range, and
-        no order the move of its range to someone else.
+        A grant must not be renewed after a part of its range was released,
+        and no order may be sent after its range moved to another owner.
         """
         table = self._find_table(service)
         return table is not None and table.find(tenure.low) == tenure
 
     def _find_table(self, service: ServiceName) -> RangeTable | None:
-        """Return the owners, if they were written in the term's own era.
+        """Return the table if it was written in the era of this term.
 
-        A leader whose era is over would order by the table of the next one
-        on a proof that counts for nothing there.
+        After a restore of the store, a leader of the former era must not
+        act on a table of the new one: its proof of leadership is invalid
+        there.
         """
         return self._deployment.find_table_in_era(service, self.term.era)
--- a/sedgetide/daemons/host.py
+++ b/sedgetide/daemons/host.py
@@ -1,4 +1,4 @@
-"""The daemon of a host: serves callers, and leads when it is its turn."""
+"""Daemon of a host: routes callers' requests, and may lead the hosts."""
 
 from collections.abc import Callable
 import contextlib
@@ -83,64 +83,64 @@
 from sedgetide.runtime.tasks import spawn_vital
 from sedgetide.wire.server import Server
 
-_LINK_BYTES = 1024 * 1024
-_HOUSEKEEPING = 0.2
-_PRUNED_EVERY = 10
-_STOP_POLL = 0.05
+_MAX_LINK_BYTES = 1024 * 1024
+_HOUSEKEEPING_INTERVAL = 0.2
+_PRUNE_PERIOD = 10
+_STOP_POLL_INTERVAL = 0.05
 _EXIT_RESERVE = 0.25
-# Hosts do not know of each other's retries. A share of each one's own
-# requests adds up to that share of all, whoever can talk to whom; the rest is
-# for those that start anew.
-_OWN_SHARE = 0.8
-_NOTICE_SHARE = 0.49
+# Hosts don't know of each other's retries. Each is limited to a share of its
+# own requests, which adds up to that share of all requests even if hosts are
+# partitioned. The remaining fifth is for hosts that have just started.
+_RETRY_SHARE = 0.8
+_MAX_NOTICE_SHARE = 0.49
 
 
 class DeploymentAdapter(msgspec.Struct, frozen=True):
-    """All that a deployment's adapter brings.
+    """Interfaces that adapt a host to the protocols of a deployment.
 
     Parameters
     ----------
     requests : RequestDialect
-        Headers of requests and answers.
+        Translates headers of requests and answers.
     orders : OrderDialect
-        Grants and releases.
-    catalogue : RegistryDialect
-        Registry and routes.
+        Encodes grants and releases.
+    registry : RegistryDialect
+        Decodes registry entries and routes.
     open_store : callable
-        Returns a client of the store at an address, which tells of the
-        eras of its answers.
+        Returns a client of the store at an address. The client notifies the
+        given tracker of the eras of its answers.
     readiness_path : str
-        Where the balancer asks whether this host is ready.
+        Path of the readiness probe of the load balancer.
     """
 
     requests: RequestDialect
     orders: OrderDialect
-    catalogue: RegistryDialect
+    registry: RegistryDialect
     open_store: Callable[[str, EraTracker], LeaseStore]
     readiness_path: str
 
 
 class Host(Inspectable):
-    """One host: callers' side, knowledge, and the leader's task.
+    """One host: request router, state of the deployment, and leader task.
 
     Parameters
     ----------
     settings : HostSettings
-        Checked settings.
-    dialects : DeploymentAdapter
-        The deployment's adapter.
+        Validated settings.
+    adapter : DeploymentAdapter
+        Interfaces to the protocols of the deployment.
     """
 
     def __init__(
-        self, settings: HostSettings, dialects: DeploymentAdapter
+        self, settings: HostSettings, adapter: DeploymentAdapter
     ) -> None:
         self._settings = settings
-        self._dialects = dialects
+        self._adapter = adapter
         self._stopping = False
         self.incarnation = make_incarnation()
         self._eras = EraTracker()
         self._deployment = DeploymentState(
-            dialects.catalogue,
+            adapter.registry,
             Evacuations(settings.evacuate_ms / 1000.0),
             ColdTolerance(settings.cold_overrun, settings.cold_slack),
         )
@@ -148,12 +148,15 @@
             lambda era: self._deployment.note_era(era, read_clock())
         )
         self._feed = FeedReceiver(self._deployment, self._eras)
-        self._lanes = UpstreamChannels(settings.limits.body_bytes)
+        self._channels = UpstreamChannels(settings.limits.body_bytes)
         self._meter = LoadMeter()
         self._partitions = PartitionDetector(settings.data_centre)
-        self._absent = False
+        self._withdrawn = False
         self._transport = Transport(
-            settings.link, _LINK_BYTES, self._handle, self._drop
+            settings.link,
+            _MAX_LINK_BYTES,
+            self._handle_message,
+            self._drop_message,
         )
         self._places = Places(
             LinkAddress(settings.link),
@@ -174,29 +177,29 @@
             self._transport.send,
             random.Random(self.incarnation),
         )
-        self._breaks = CrashDetector(
+        self._crash_detector = CrashDetector(
             self._deployment.directory, self._quarantine.note_upstream_end
         )
-        self._requests = RequestRouter(
+        self._router = RequestRouter(
             self._deployment,
-            dialects.requests,
-            self._lanes,
+            adapter.requests,
+            self._channels,
             self._places,
             self._meter,
             settings.data_centre,
             self._partitions,
-            self._breaks,
+            self._crash_detector,
             self._quarantine,
             self._trials,
             RetryPolicy(
-                settings.retry_ratio * _OWN_SHARE, settings.retry_slack
+                settings.retry_ratio * _RETRY_SHARE, settings.retry_slack
             ),
             random.Random(settings.host),
         )
         self._server = Server(
-            self._requests.serve,
-            self._requests.is_idempotent,
-            self._requests.read_limits,
+            self._router.serve,
+            self._router.is_idempotent,
+            self._router.read_limits,
             BodyBudget(compute_body_limit(settings.memory_mb)),
         )
         self._leader = self._make_leader()
@@ -225,7 +228,7 @@
 
     def _open_store(self) -> LeaseStore:
         return InstrumentedStore(
-            self._dialects.open_store(self._settings.stores[0], self._eras)
+            self._adapter.open_store(self._settings.stores[0], self._eras)
         )
 
     def _make_leader(self) -> Leader:
@@ -237,7 +240,7 @@
             self.incarnation,
             LinkAddress(self._settings.link),
         )
-        campaign = Election(
+        election = Election(
             self._open_store(),
             record,
             leadership,
@@ -248,8 +251,8 @@
         return Leader(
             self._open_store(),
             self._deployment,
-            self._dialects.orders,
-            campaign,
+            self._adapter.orders,
+            election,
             leadership,
             durations,
             self._transport.send,
@@ -257,30 +260,30 @@
         )
 
     def start(self, stack: contextlib.ExitStack) -> None:
-        """Begin to listen, to follow, and to stand."""
+        """Start the listeners and all tasks; the stack stops them."""
         self._start_admin(stack)
-        stack.callback(self._lanes.close)
+        stack.callback(self._channels.close)
         stack.callback(self._transport.close)
         self._transport.start()
-        for prefix in self._dialects.catalogue.list_prefixes():
-            follower = StoreWatcher(
+        for prefix in self._adapter.registry.list_prefixes():
+            watcher = StoreWatcher(
                 self._open_store(),
                 prefix,
                 self._deployment,
                 self._is_fed,
                 lambda: self._leader.leading,
             )
-            follower.start(stack)
+            watcher.start(stack)
         self._leader.start(stack)
         LoadReporter(self._meter, self).start(stack)
-        spawn_vital(self._keep_house, stack)
+        spawn_vital(self._housekeeping_loop, stack)
         stack.callback(self._server.stop_accepting)
         self._server.start(
             open_listener(*split_address(self._settings.listen))
         )
 
     def _start_admin(self, stack: contextlib.ExitStack) -> None:
-        application = make_application(self, self._dialects.readiness_path)
+        application = make_application(self, self._adapter.readiness_path)
         for address in {self._settings.ready, self._settings.admin}:
             listener = open_listener(*split_address(address))
             server = WSGIServer(
@@ -289,41 +292,41 @@
             server.start()
             stack.callback(server.stop, timeout=0.1)
 
-    def _keep_house(self) -> None:
+    def _housekeeping_loop(self) -> None:
         for turn in itertools.count():
-            gevent.sleep(_HOUSEKEEPING)
+            gevent.sleep(_HOUSEKEEPING_INTERVAL)
             now = read_clock()
-            self._note_partition(now)
+            self._update_partition(now)
             self._places.run_periodic(now)
-            self._breaks.run_periodic(now)
+            self._crash_detector.run_periodic(now)
             self._quarantine.run_periodic(now)
             self._trials.run_periodic(now)
             self._deployment.apply_pending_evacuations(now)
             if self._deployment.directory.expire(now):
                 self._deployment.changes.notify_all()
-            if turn % _PRUNED_EVERY == 0:
+            if turn % _PRUNE_PERIOD == 0:
                 entries = self._deployment.directory.list_all()
-                self._lanes.prune({entry.name for entry in entries})
+                self._channels.prune({entry.name for entry in entries})
 
-    def _note_partition(self, now: float) -> None:
-        """Send callers elsewhere while this host is cut off."""
-        absent = self._partitions.should_withdraw(
+    def _update_partition(self, now: float) -> None:
+        """Withdraw from the load balancer while this host is partitioned."""
+        withdrawn = self._partitions.should_withdraw(
             self._deployment.heard_at, now
         )
-        if absent != self._absent:
-            self._absent = absent
+        if withdrawn != self._withdrawn:
+            self._withdrawn = withdrawn
             silence = now - self._deployment.heard_at
-            event = Event.CUT_OFF if absent else Event.REJOINED
+            event = Event.CUT_OFF if withdrawn else Event.REJOINED
             log_event(event, silence=f"{silence:.1f}")
-        self._server.close_after_answer = absent or self._stopping
+        self._server.close_after_answer = withdrawn or self._stopping
 
     # Links
 
-    def _handle(self, message: AnyMessage, sender: str) -> None:
+    def _handle_message(self, message: AnyMessage, sender: str) -> None:
         if isinstance(message, LoadReport):
             self._take_report(message, LinkAddress(sender))
         elif isinstance(message, StoreFeed):
-            self._feed.take(message, read_clock())
+            self._feed.handle_feed(message, read_clock())
         elif isinstance(message, Moved):
             self._deployment.complete_moves(message.service, message.tenures)
         elif isinstance(message, Lenders):
@@ -340,8 +343,8 @@
         self._quarantine.note_report(link, report.standing.quarantine, now)
         self._leader.note_report(report, link, now)
 
-    def _drop(self, message: Message) -> None:
-        """Leave a report unsent; the next one tells enough."""
+    def _drop_message(self, message: Message) -> None:
+        """Drop an unsent message; the next load report supersedes it."""
 
     def _is_fed(self) -> bool:
         return not self._leader.leading and self._feed.is_fresh(read_clock())
@@ -354,7 +357,7 @@
         return None if leader is None else leader.record.link
 
     def send_report(self, link: LinkAddress, report: LoadReport) -> None:
-        report.standing = self._describe_standing()
+        report.standing = self._make_status()
         report.leaving = self._deployment.directory.list_announced()
         report.limits = self._places.list_limits(read_clock())
         if link == self._settings.link:
@@ -362,7 +365,7 @@
         else:
             self._transport.send(link, report)
 
-    def _describe_standing(self) -> HostStatus:
+    def _make_status(self) -> HostStatus:
         own = self._settings.available_cores
         return HostStatus(
             DataCentre(self._settings.data_centre),
@@ -374,7 +377,7 @@
     # Admin
 
     def is_ready(self) -> bool:
-        unready = self._stopping or self._absent
+        unready = self._stopping or self._withdrawn
         return self._deployment.complete and not unready
 
     def lift_quarantine(self, fingerprint: Fingerprint) -> bool:
@@ -394,12 +397,12 @@
     # Stop
 
     def stop(self) -> None:
-        """Let callers go elsewhere and end what is in hand.
+        """Drain: stop accepting requests and finish those in progress.
 
-        First the balancer needs time to notice, and what still comes is
-        served, each answer with the wish to close. Then nothing new is
-        taken: a request that came later could outlast the grace and would
-        be cut by the end of the process while its upstream works on it.
+        At first requests are still served, with ``Connection: close`` in the
+        answers, until the load balancer has noticed. Then no connection is
+        accepted any more: a later request could exceed the grace period and
+        be aborted when the process ends, while its upstream works on it.
         """
         self._stopping = True
         log_event(
@@ -410,7 +413,7 @@
         self._leader.resign()
         self._server.begin_stop()
         began = read_clock()
-        longest = self._settings.grace * _NOTICE_SHARE
+        longest = self._settings.grace * _MAX_NOTICE_SHARE
         notice = min(self._settings.limits.drain_notice, longest)
         self._wait_until(began + notice)
         self._server.stop_accepting()
@@ -418,7 +421,7 @@
         last = began + self._settings.grace - _EXIT_RESERVE
         while read_clock() < last and self._server.connections:
             self._server.close_idle()
-            gevent.sleep(_STOP_POLL)
+            gevent.sleep(_STOP_POLL_INTERVAL)
         log_event(
             Event.STOPPED,
             in_hand=self._server.in_hand,
@@ -427,18 +430,18 @@
 
     def _wait_until(self, end: float) -> None:
         while read_clock() < end:
-            gevent.sleep(_STOP_POLL)
+            gevent.sleep(_STOP_POLL_INTERVAL)
 
 
-def main(arguments: list[str] | None, dialects: DeploymentAdapter) -> int:
-    """Run a host until SIGTERM.
+def main(arguments: list[str] | None, adapter: DeploymentAdapter) -> int:
+    """Run a host until SIGTERM or SIGINT.
 
     Parameters
     ----------
     arguments : list of str or None
-        Command line: the settings file.
-    dialects : DeploymentAdapter
-        The deployment's adapter.
+        Command line, which names the settings file.
+    adapter : DeploymentAdapter
+        Interfaces to the protocols of the deployment.
     """
     settings = read_settings(
         "sedgetide-host", __doc__, HostSettings, arguments
@@ -448,7 +451,7 @@
         gevent.signal_handler(number, stopped.set)
     gevent.signal_handler(signal.SIGHUP, _note_reload)
     with contextlib.ExitStack() as stack:
-        host = Host(settings, dialects)
+        host = Host(settings, adapter)
         host.start(stack)
         log_event(
             Event.STARTED,
@@ -461,5 +464,5 @@
 
 
 def _note_reload() -> None:
-    """Say that the settings of a running process do not change."""
+    """Log that settings can't be reloaded in a running process."""
     log_event(Event.RELOAD)
