--- a/sedgetide/backends/dialects.py
+++ b/sedgetide/backends/dialects.py
@@ -1,6 +1,6 @@
 """Interfaces that translate a deployment's protocol to the router's types.
 
-A dialect only translates and contains no policy. All its methods are pure.
+A dialect only translates and makes no decisions. All its methods are pure.
 """
 
 import abc
@@ -64,7 +64,7 @@
 class EvacuationRequest(msgspec.Struct, frozen=True):
     """Operators started or cancelled the evacuation of a data centre.
 
-    While it is asked for, the upstreams of the data centre get no new work
+    During an evacuation, the upstreams of the data centre get no new work
     and their keys move elsewhere.
     """
 
@@ -116,7 +116,8 @@
         Parameters
         ----------
         left : float
-            Seconds left until the caller's deadline.
+            Seconds within which the caller needs the final response: until
+            its deadline or the timeout of the route, whichever is earlier.
         upstream : UpstreamName
             The only upstream that may run the request.
         """
--- a/sedgetide/backends/httpupstream.py
+++ b/sedgetide/backends/httpupstream.py
@@ -34,7 +34,7 @@
 CONTROL_PREFIX = "/sedgetide/v1"
 
 _MAX_CONTROL_BODY = 4 * 1024 * 1024
-_MAX_IDLE = 1.0
+_MAX_FRESH_IDLE = 1.0
 _NO_DEADLINE = float("inf")
 _OK = 200
 
@@ -157,7 +157,7 @@
             connection.close()
             raise
         if answer.find_header(HEADER_REQUEST_ID) != request.number:
-            # A response to an earlier request may look valid.
+            # A late response to an earlier request would look valid.
             connection.close()
             raise UpstreamError(
                 ErrorCode.BAD_ANSWER,
@@ -181,7 +181,7 @@
         now = time.monotonic()
         while self._idle:
             connection = self._idle.pop()
-            if not fresh or now - connection.answered_at < _MAX_IDLE:
+            if not fresh or now - connection.answered_at < _MAX_FRESH_IDLE:
                 return connection
             connection.close()
         return self._connect()
--- a/sedgetide/backends/upstream.py
+++ b/sedgetide/backends/upstream.py
@@ -149,8 +149,9 @@
         Parameters
         ----------
         fresh : bool
-            Use a new connection or one that was used recently. On a lost
-            connection it would be unknown whether the request ran.
+            Use a new connection or one that received a response recently.
+            After a send on a lost connection, it would be unknown whether
+            the request ran.
         """
 
     @abc.abstractmethod
--- a/sedgetide/coding/messages.py
+++ b/sedgetide/coding/messages.py
@@ -90,9 +90,9 @@
     ----------
     asked_at : float
         Monotonic clock of the sender; echoed by the reply.
-    unheard : float
+    silent_seconds : float
         Seconds since the sender last received a message of the receiver, if
-        that is above the limit; else 0.
+        that is too long; else 0.
     """
 
     asked_at: float
@@ -259,9 +259,9 @@
         Positions between which the items are all changes.
     age : float
         Seconds since the last response of the store to the leader.
-    disturbed : float
-        Seconds for which upstreams without a registry entry are kept,
-        because of a recent outage of the registry.
+    distrust_seconds : float
+        Seconds for which a missing registry entry is not yet taken for the
+        end of its upstream, because of a recent outage of the registry.
     items : list of Item
         Newest versions of the changed items.
     hosts : int
@@ -291,19 +291,19 @@
 
 
 class Lenders(Message, tag="lenders"):
-    """Notice of the leader which hosts are lenders.
+    """Notice of the leader that names the lenders.
 
-    A lender limits the requests to an upstream from all hosts: it lends
-    them the places at the upstream, one for each running request.
+    A lender is a host that limits the requests of all hosts to an upstream:
+    it lends them places at the upstream, one for each running request.
     """
 
     named: LenderList
 
 
 class Quarantined(Message, tag="quarantine"):
-    """The quarantine of a host, synchronized between hosts.
+    """Quarantine of the sender, synchronized between hosts.
 
-    The quarantine has the requests during which upstreams ended.
+    A quarantine records the requests during which upstreams ended.
 
     Parameters
     ----------
@@ -338,7 +338,7 @@
         is cold; None if the sender considers it warm.
     limit : StatedLimit or None
         Newest rate limit of the upstream that the sender has received, with
-        times relative to the sending of this message.
+        times relative to the sending of this message; None without one.
     """
 
     number: int
@@ -402,7 +402,7 @@
     fingerprint : Fingerprint
         Fingerprint of the suspect request.
     left : float
-        Seconds until the caller's deadline.
+        Seconds until the caller gets a final response at the latest.
     service : ServiceName
         Service that the request is sent to.
     grave : bool
--- a/sedgetide/coding/text.py
+++ b/sedgetide/coding/text.py
@@ -157,7 +157,7 @@
             yield Problem(
                 f"$.services[{index}].depends_on",
                 describe_value(list(service.depends_on)),
-                "a list that does not lead back to the service (a cycle)",
+                "a list that does not lead back to the service in a cycle",
             )
 
 
--- a/sedgetide/platform/__init__.py
+++ b/sedgetide/platform/__init__.py
@@ -1,5 +1,5 @@
 """Adapter between the deployment platform and the router.
 
 All names of the platform's headers, endpoints, store keys and fields are
-confined to this package, which translates and contains no policy.
+confined to this package. It only translates and makes no decisions.
 """
--- a/sedgetide/platform/_orders.py
+++ b/sedgetide/platform/_orders.py
@@ -20,7 +20,7 @@
         msgspec.json.encode(document),
         (
             ("Content-Type", "application/json"),
-            # The address may have been reassigned to another upstream.
+            # The address may now belong to an upstream of another service.
             (_names.EXPECT_INSTANCE, upstream),
         ),
     )
--- a/sedgetide/platform/_registry.py
+++ b/sedgetide/platform/_registry.py
@@ -165,7 +165,7 @@
 
 
 def _read_optional_number(row: dict[str, Any], name: str) -> float | None:
-    """Return the number in a column, or None when it is absent.
+    """Return the number in a column, or None when it is absent or null.
 
     Raises
     ------
--- a/sedgetide/platform/_requests.py
+++ b/sedgetide/platform/_requests.py
@@ -110,7 +110,7 @@
         )
         if len(parts) == _LOAD_PARTS:
             return UpstreamLoad(running, waiting, slots)
-        # Anything after the fourth number is unknown and ignored.
+        # The meaning of further numbers is unknown; they are ignored.
         pace = _read_load_number(parts[_LOAD_PARTS], 1) / _NORMAL_PACE
         return UpstreamLoad(running, waiting, slots, pace)
 
--- a/sedgetide/platform/_store.py
+++ b/sedgetide/platform/_store.py
@@ -276,7 +276,7 @@
         if era != self._eras.newest:
             raise self._error(
                 step,
-                f"response of era {era} after one of {self._eras.newest}",
+                f"response of era {era} after one of era {self._eras.newest}",
                 _classify(request),
             )
         return era
@@ -296,7 +296,7 @@
 
 
 def _classify(request: Request) -> ErrorCode:
-    """Return the code of a call that was sent without a usable response."""
+    """Return the error code of a sent call without a usable response."""
     return ErrorCode.STORE_UNCERTAIN if request.method == "POST" else _FAILED
 
 
--- a/sedgetide/wire/client.py
+++ b/sedgetide/wire/client.py
@@ -30,7 +30,7 @@
 _DEFAULT_IDLE_TIMEOUT = 8.0
 _MAX_IDLE_TIMEOUT = 30.0
 _IDLE_TIMEOUT_FRACTION = 0.9
-# More responses to other requests than this are not just late duplicates.
+# This many responses to other requests are not just late duplicates.
 _MAX_ANSWERS_READ = 3
 _LINGER_RESET = struct.pack("ii", 1, 0)
 
@@ -107,10 +107,10 @@
         self._used_at = time.monotonic()
 
     def wait_for_reset(self, seconds: float) -> None:
-        """Wait for a server without a free slot to reset the connection.
+        """Give a server without a free slot time to reset the connection.
 
-        After a reset before the request is sent, the request is known not
-        to have run; after a later one, its outcome is unknown.
+        If the reset arrives before the request is sent, the request is known
+        not to have run. If it arrives later, the outcome is unknown.
 
         Raises
         ------
@@ -205,7 +205,7 @@
     def _exchange(
         self, request: Request, is_own_answer: AnswerFilter
     ) -> Answer:
-        data, parser = _format(request)
+        data, parser = _format_request(request)
         self._socket.sendall(data)
         for _ in range(_MAX_ANSWERS_READ):
             answer = self._read_answer(parser)
@@ -215,7 +215,7 @@
                 return answer
             # A duplicate of an earlier response arrives where the response
             # to this request is expected; only the id distinguishes them.
-            _, parser = _format(request)
+            _, parser = _format_request(request)
             if rest:
                 parser.receive_data(rest)
             if ended:
@@ -273,8 +273,9 @@
         """Reset the connection and discard data that is not yet delivered.
 
         After a normal close, the kernel keeps retransmitting unacknowledged
-        data. An order that was given up during a network partition would be
-        delivered after it, behind newer orders. A reset discards the data.
+        data. An order that was given up during a network partition would
+        arrive when the partition ends, after newer orders. A reset discards
+        the data.
         """
         if self._socket is not None:
             with contextlib.suppress(OSError):
@@ -298,7 +299,7 @@
             connection.set_idle_timeout(float(value))
 
 
-def _format(request: Request) -> tuple[bytes, h11.Connection]:
+def _format_request(request: Request) -> tuple[bytes, h11.Connection]:
     """Return the bytes of a request and a parser for its response."""
     parser = h11.Connection(
         h11.CLIENT, max_incomplete_event_size=_MAX_HEADER_BYTES
--- a/sedgetide/wire/server.py
+++ b/sedgetide/wire/server.py
@@ -22,7 +22,7 @@
 _RECV_BYTES = 64 * 1024
 _MAX_PIPELINED = 32
 _LINGER_TIMEOUT = 1.0
-# In seconds; a current upload has usually finished by then.
+# In seconds; an upload in progress has usually finished by then.
 _BUSY_RETRY_AFTER = 1.0
 _UNLIMITED_BYTES = 1 << 62
 
@@ -209,8 +209,9 @@
             pending = _PendingRequest(parser, request)
             self._wait_for_start(request)
             if self._reading_done:
-                # It arrived after the last response of the connection. To
-                # the caller it is unread, and will be retried elsewhere.
+                # The response to an earlier request has closed the
+                # connection. The caller takes this request for unread and
+                # retries it elsewhere.
                 break
             self._pending.append(pending)
             pending.task = gevent.spawn(self._handle, pending)
@@ -219,7 +220,8 @@
     def _wait_for_start(self, request: Request) -> None:
         """Wait until a request may start.
 
-        Idempotent requests run concurrently, others one after the other.
+        Idempotent requests run concurrently, up to a limit. Any other
+        request runs alone.
         """
         while self._pending:
             alone = not self._server.is_idempotent(request) or not (
--- a/tests/command/test_main.py
+++ b/tests/command/test_main.py
@@ -176,7 +176,8 @@
 
     def test_lost_answer_of_an_own_change_is_success(self):
         # Guards against reporting a failure although the change took
-        # effect; the change id identifies it.
+        # effect: the operator would edit again from the wrong base. The
+        # change id identifies the change.
         store = LosingStore([self.address], 5.0)
         self.addCleanup(store.close)
         content = EXAMPLE.read_bytes()
--- a/tests/platform/test_foreign_entries.py
+++ b/tests/platform/test_foreign_entries.py
@@ -141,10 +141,10 @@
         self.assertEqual([], evacuations.list_evacuating())
 
     def test_starting_host_applies_evacuation_before_it_sends(self):
-        """A host that starts during an evacuation honours it at once.
+        """All hosts restart during an evacuation and honour it at once.
 
-        Its first listing has the upstreams, the owners and the evacuation
-        request. Reading the latter last would send requests to the data
+        Their first listing has the upstreams, the owners and the evacuation
+        request. Requests sent before the latter is read would reach the data
         centre long after the deadline by which it has to be empty.
         """
         deployment = DeploymentState(PlatformRegistry(), Evacuations(5.0))
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -63,7 +63,7 @@
         self.assertEqual([3], self.seen_eras)
 
     def test_refusal_names_an_era_too(self):
-        # An error response reveals a restore as well as a successful one.
+        # Guards against noticing a restore only at the next success.
         self.list(3)
         self.store.answer(4, {}, 429)
         self.assertRaises(StoreError, self.store.read, "k")
