--- a/sedgetide/coding/messages.py
+++ b/sedgetide/coding/messages.py
@@ -429,7 +429,8 @@
     retry_after : float
         Seconds after which a refused caller should retry.
     alone : bool
-        Whether no other strong suspect of its service runs meanwhile.
+        Whether no other strong suspect of its service runs meanwhile; that
+        is a request that one more loss may quarantine.
     """
 
     number: int
--- a/sedgetide/command/explain.py
+++ b/sedgetide/command/explain.py
@@ -51,17 +51,18 @@
 _CAUSES = {
     ("", "window"): "its owner had no free place in time",
     ("", "moving"): "its range had no owner while it moved",
-    ("", "owner-gone"): "its owner had ended and its range had not yet moved",
+    ("", "owner-gone"): "its owner was no longer available and its range had "
+    "not yet moved",
     ("", "no-owner"): "the host knew no owner of its key",
     ("", "no-upstream"): "its service had no upstream",
-    ("", "quarantined"): "it is quarantined, because upstreams ended during "
-    "it and its repeats",
+    ("", "quarantined"): "it is quarantined and was not sent, because "
+    "upstreams ended during it and its repeats",
     ("", "limited"): "it exceeded the rate limit that its upstream had set "
     "for all hosts together",
     (
         "",
         "backing-off",
-    ): "its upstream had asked the host to back off",
+    ): "its upstream had asked the host to send nothing for some time",
     ("not-owner", None): "the upstream that the host considered the owner "
     "did not own the key",
     ("unreachable", None): "the connection to the upstream failed",
--- a/sedgetide/links/_transport.py
+++ b/sedgetide/links/_transport.py
@@ -101,8 +101,8 @@
     handler : callable
         Called with each message and the sender's address; must not block.
     on_drop : callable
-        Called with each message that was not sent, because the peer's
-        buffer was full or its connection was replaced.
+        Called with each message that was not sent, because the send buffer
+        for the peer was full or the connection was replaced.
 
     Notes
     -----
--- a/tests/command/test_main.py
+++ b/tests/command/test_main.py
@@ -167,7 +167,7 @@
         self.assertEqual(0, code)
         self.assertIsNone(json.loads(out)["owner"])
 
-    def test_store_away(self):
+    def test_store_unavailable(self):
         code, _, err = self.run_command(
             "config", "show", "--store", "127.0.0.1:1"
         )
