--- a/sedgetide/core/configuration/services.py
+++ b/sedgetide/core/configuration/services.py
@@ -82,7 +82,7 @@
 
 
 class Weights(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Relative costs for the assignment of shards; only the ratio counts."""
+    """Relative costs of churn and of unavailability; only the ratio counts."""
 
     churn: Weight = 1.0
     unavailable: Weight = 1.0
--- a/sedgetide/core/history.py
+++ b/sedgetide/core/history.py
@@ -2,7 +2,7 @@
 
 The store may be restored from an older backup. Its revisions then go back and
 are assigned again, so that a revision alone may identify two states. Each
-restore starts a new era, which is a counter.
+restore starts a new era. Eras are numbered in ascending order.
 """
 
 from typing import NewType
--- a/sedgetide/core/membership/datacentre.py
+++ b/sedgetide/core/membership/datacentre.py
@@ -117,7 +117,7 @@
     liveness : Liveness
         Liveness of peers by link address.
     now : float
-        Local clock at the start of the process.
+        Monotonic time at the start of the process.
     """
 
     def __init__(
@@ -243,7 +243,7 @@
         return now - self._started_at >= self._timing.silence
 
     def list_alive(self, now: float) -> list[HostName]:
-        """Return the live members, including this one, that do not leave."""
+        """Return live members that are not leaving, including this one."""
         alive = []
         for host, member in self.assignment.members.items():
             if host == self.host:
@@ -388,7 +388,11 @@
     def _list_takers(
         self, text: Text, now: float
     ) -> tuple[dict[ServiceName, list[UpstreamName]], set[UpstreamName]]:
-        """Return eligible upstreams by service, and all active ones."""
+        """Return upstreams that may get shards, and all that may keep theirs.
+
+        Lost upstreams get no shards, but are not evicted: their shards are
+        released as lost.
+        """
         lost = {
             report.upstream
             for report in self._list_reports(now)
--- a/sedgetide/core/membership/evacuations.py
+++ b/sedgetide/core/membership/evacuations.py
@@ -47,7 +47,7 @@
             must not treat an old evacuation as a new one, or it would send
             requests there long after all other hosts have stopped.
         now : float
-            Local clock.
+            Current monotonic time in seconds.
 
         Returns
         -------
--- a/sedgetide/core/membership/lenders.py
+++ b/sedgetide/core/membership/lenders.py
@@ -159,7 +159,7 @@
             Upstreams that own keys, for which each request can be sent to
             one upstream only.
         now : float
-            Local clock.
+            Current monotonic time in seconds.
         others : collection of RegisteredUpstream
             All upstreams whose request rate may become limited because they
             are cold or state a limit. This is not known in advance, and
--- a/sedgetide/core/membership/partitions.py
+++ b/sedgetide/core/membership/partitions.py
@@ -79,7 +79,7 @@
         heard_at : float
             Local time of the last update from the store.
         now : float
-            Local clock.
+            Current monotonic time in seconds.
         """
         if self._withdrawn_at is not None:
             if now - heard_at < _STORE_TIMEOUT:
--- a/sedgetide/core/ownership/authority.py
+++ b/sedgetide/core/ownership/authority.py
@@ -31,7 +31,7 @@
     Parameters
     ----------
     asked_at : float
-        Local clock before the request was sent.
+        Monotonic time before the request was sent.
     revision : Revision
         Newest assignment that the member knows.
     counting : bool
@@ -73,7 +73,7 @@
         Parameters
         ----------
         asked_at : float
-            Local clock before the read was sent; for a read relayed by
+            Monotonic time before the read was sent; for a read relayed by
             another host, the time before that host was asked minus the age
             that it reported.
         revision : Revision
@@ -135,7 +135,7 @@
         Parameters
         ----------
         now : float
-            Local clock.
+            Current monotonic time in seconds.
         held : Revision
             Newest assignment that this host holds.
         members : collection of HostName
--- a/sedgetide/core/ownership/balance.py
+++ b/sedgetide/core/ownership/balance.py
@@ -30,7 +30,7 @@
 _FULL_UTILIZATION = 0.85
 _MIN_SHARE_OF_WANTED = 0.25
 _MAX_RANGES_PER_UPSTREAM = 24
-_CONSOLIDATION_THRESHOLD = 7
+_MAX_UNJOINED_RANGES_PER_UPSTREAM = 7
 _NARROW_RANGE_KEYS = 512
 # In slots: 40 joined ranges amount to the work of one upstream.
 _NEGLIGIBLE_WORK = 0.05
@@ -218,7 +218,7 @@
 def _list_candidate_ranges(
     loads: ProjectedLoad, source: IncarnationName, wanted: float
 ) -> Iterator[tuple[KeyRange, float]]:
-    """Yield ranges of the source that hold about the wanted work at most."""
+    """Yield ranges of the source with at most 1.1 times the wanted work."""
     rates = loads.rates
     taken = loads.planned_ranges[source]
     for tenure, keys in loads.keys[source]:
@@ -269,7 +269,7 @@
     max_moves : int
         Maximum number of moves to return.
     """
-    if len(table.tenures) <= _CONSOLIDATION_THRESHOLD * len(eligible):
+    if len(table.tenures) <= _MAX_UNJOINED_RANGES_PER_UPSTREAM * len(eligible):
         return []
     busy = sorted(rates)
     moves: list[Move] = []
--- a/sedgetide/core/ownership/evacuation.py
+++ b/sedgetide/core/ownership/evacuation.py
@@ -44,7 +44,7 @@
             Whether their owners still receive requests. If not, the keys
             are unavailable, which is worse than a burst at other upstreams.
         now : float
-            Local clock.
+            Current monotonic time in seconds.
         """
         if left == 0:
             self._rounds = _ROUNDS
--- a/sedgetide/core/ownership/grants.py
+++ b/sedgetide/core/ownership/grants.py
@@ -19,9 +19,9 @@
     stamp : str
         Opaque text from which the upstream recovers its own clock.
     asked_at : float
-        Local clock before the call that returned the stamp was sent.
+        Monotonic time before the call that returned the stamp was sent.
     received_at : float
-        Local clock when the stamp was received.
+        Monotonic time when the stamp was received.
     incarnation : str
         Incarnation of the upstream's process that issued the stamp.
     """
--- a/sedgetide/core/ownership/handover.py
+++ b/sedgetide/core/ownership/handover.py
@@ -54,7 +54,7 @@
         assignment: Assignment,
         longest_requests: Mapping[ShardKey, float],
     ) -> None:
-        """Start tracking the releases of the newest assignment.
+        """Update the tracked releases to those of the newest assignment.
 
         Parameters
         ----------
@@ -64,7 +64,7 @@
             Newest version that this host holds.
         longest_requests : mapping
             Longest request deadline by shard, for shards of upstreams that
-            do not reject stale orders; zero for shards that are missing.
+            do not reject stale orders. Missing shards count as zero.
         """
         releasing = {
             key: owner.epoch
@@ -131,7 +131,7 @@
         Parameters
         ----------
         now : float
-            Local clock.
+            Current monotonic time in seconds.
         takeover_wait : callable
             Returns the seconds to wait for a given longest request
             deadline; see :meth:`Timing.sum_takeover_wait`.
--- a/sedgetide/core/ownership/isolation.py
+++ b/sedgetide/core/ownership/isolation.py
@@ -62,7 +62,10 @@
 
 
 def _list_hot_keys(loads: ProjectedLoad) -> list[_HotKey]:
-    """Return the hottest keys, one per upstream, of a few upstreams."""
+    """Return the hottest key of each of a few upstreams.
+
+    At most one upstream in eight is reserved for a hot key.
+    """
     found = []
     least = max(
         _HOT_KEY_UTILIZATION,
--- a/sedgetide/core/ownership/leadership.py
+++ b/sedgetide/core/ownership/leadership.py
@@ -167,9 +167,9 @@
         position : Position
             Position of the record.
         asked_at : float
-            Local clock before the write was sent.
+            Monotonic time before the write was sent.
         now : float
-            Local clock.
+            Current monotonic time in seconds.
         """
         self._term = position
         self._era_ended = False
--- a/sedgetide/core/ownership/leasing.py
+++ b/sedgetide/core/ownership/leasing.py
@@ -151,7 +151,7 @@
         Returns whether the keeper with a given orderer name takes
         precedence over this one.
     now : float
-        Local clock.
+        Current monotonic time in seconds.
     """
 
     def __init__(
--- a/sedgetide/core/ownership/load.py
+++ b/sedgetide/core/ownership/load.py
@@ -32,6 +32,7 @@
 # Lower bound of the observed time in seconds, right after the first report.
 _MIN_OBSERVED_SECONDS = 0.3
 
+# Seconds without observations after which excess slowness counts for a third.
 _SLOWNESS_DECAY = 8.0
 # Weight of the last answer in the short-term average, which shows a slowdown
 # after four answers.
@@ -141,7 +142,7 @@
             Seconds since the first report, used to correct the average for
             a period of observation shorter than the time constant.
         now : float
-            Local clock.
+            Current monotonic time in seconds.
         """
         if self._scaled_at is None:
             return LoadEstimate({})
--- a/sedgetide/core/ownership/planning.py
+++ b/sedgetide/core/ownership/planning.py
@@ -38,7 +38,8 @@
     pins : dict
         Owners configured by the operators that are eligible now.
     joiners : dict
-        Hosts that answer, to be on the member list with these addresses.
+        Addresses of hosts that answer, by host. A host that is not on the
+        member list, or is listed with other addresses, is added.
     absent : frozenset
         Members that have been silent for a long time.
     member_list_known : bool
@@ -153,7 +154,8 @@
     -------
     Assignment or None
         The first change that is due: next or first owners of shards that
-        have none, then releases, then the member list.
+        have none, then releases, then the member list, on which all waits
+        for a majority depend.
     """
     plans = [
         _plan_completion,
--- a/sedgetide/core/ownership/ranges.py
+++ b/sedgetide/core/ownership/ranges.py
@@ -79,7 +79,10 @@
 
     @property
     def moving(self) -> bool:
-        """Whether the range is moving to another owner."""
+        """Whether the range is moving.
+
+        It has no owner until the previous one has stopped.
+        """
         return self.successor != NO_UPSTREAM
 
 
--- a/sedgetide/core/ownership/smoothing.py
+++ b/sedgetide/core/ownership/smoothing.py
@@ -119,7 +119,11 @@
 def _find_significant(
     statistics: Sequence[_RangeStatistics], index: int, tenure: Tenure
 ) -> _RangeStatistics | None:
-    """Return the shortest statistics in which a range deviates, or None."""
+    """Return the statistics that show a significant deviation of a range.
+
+    If several do, those with the shortest time constant are returned; if
+    none do, None.
+    """
     for each in statistics:
         if each.is_significant(index, each.density * len(tenure.keys)):
             return each
--- a/sedgetide/core/requests/bodylimits.py
+++ b/sedgetide/core/requests/bodylimits.py
@@ -4,7 +4,7 @@
 # and in the request to the upstream.
 _COPIES = 3
 # Megabytes used by a host without any body: 28 to 52 in deployments of up to
-# 195 hosts, plus the same again for answers.
+# 195 hosts, plus room for about as much again in answers.
 _BASE_MEGABYTES = 80
 _MIN_BODY_SHARE = 0.1
 _MEGABYTE = 1024 * 1024
--- a/sedgetide/core/requests/operations.py
+++ b/sedgetide/core/requests/operations.py
@@ -1,4 +1,7 @@
-"""Idempotency keys: a repeated non-idempotent request never runs again."""
+"""Operation ids, which keep a repeated non-idempotent request from rerunning.
+
+The id of an operation is the value of the caller's ``Idempotency-Key`` header.
+"""
 
 import collections
 from collections.abc import Hashable
@@ -168,7 +171,7 @@
         self._entries.pop(operation, None)
 
     def finish(self, operation: OperationId, answer: AnswerT) -> None:
-        """Store the answer of an operation, also an unknown outcome."""
+        """Store the answer of an operation, also if its outcome is unknown."""
         entry = self._entries.get(operation)
         if entry is not None:
             entry.answer = answer
--- a/sedgetide/core/requests/overdue.py
+++ b/sedgetide/core/requests/overdue.py
@@ -21,7 +21,7 @@
 class OverdueDetector:
     """Distinguishes retries from first attempts by the remaining deadline.
 
-    Each request states the time left until its deadline, and all callers of
+    Requests may state the time left until their deadline, and all callers of
     a route start with about the same deadline. A request with less time left
     has been refused before and can no longer be answered within the
     objective. Under overload, requests that can still meet the objective go
--- a/sedgetide/core/requests/places.py
+++ b/sedgetide/core/requests/places.py
@@ -175,8 +175,8 @@
         self._queue.finish(seconds)
         # Any other request queued at the upstream was sent without a place
         # and takes the slot that has just become free.
-        unlent = max(0, waiting - _EXTRA_PLACES)
-        self._queue.slots = max(1, self._slots + _EXTRA_PLACES - unlent)
+        without_place = max(0, waiting - _EXTRA_PLACES)
+        self._queue.slots = max(1, self._slots + _EXTRA_PLACES - without_place)
         return self._admit(now)
 
     def expire(self, now: float) -> list[Decision]:
--- a/sedgetide/core/requests/quarantine.py
+++ b/sedgetide/core/requests/quarantine.py
@@ -185,7 +185,7 @@
         return other_stays <= stays and other_losses <= losses
 
     def has_same_content(self, other: "QuarantineRecord") -> bool:
-        """Return whether both records are equal apart from their age."""
+        """Return whether both records are equal apart from their times."""
         return _list_content(self) == _list_content(other)
 
 
--- a/sedgetide/core/requests/ratelimits.py
+++ b/sedgetide/core/requests/ratelimits.py
@@ -20,8 +20,8 @@
 # Requests per second. The end of a limit is only learnt from an answer, so a
 # request is still sent at long intervals.
 _MIN_RATE = 0.1
-# Upstreams whose limits a host keeps, most recent first; more than any
-# deployment has at a time.
+# Upstreams whose limits a host keeps. The one heard from least recently is
+# evicted first; no deployment has this many limited upstreams at a time.
 _MAX_KNOWN = 4000
 # Tokens; rounding errors must not delay a request that is due.
 _TOLERANCE = 1e-6
@@ -46,7 +46,13 @@
     heard_at: float
 
     def shift(self, seconds: float) -> "StatedLimit":
-        """Return the limit with its times shifted by an offset."""
+        """Return the limit with its times converted to another clock.
+
+        Parameters
+        ----------
+        seconds : float
+            Seconds by which the other clock is ahead.
+        """
         return StatedLimit(
             self.rate,
             round(self.asked_at + seconds, 3),
--- a/sedgetide/core/requests/windowqueue.py
+++ b/sedgetide/core/requests/windowqueue.py
@@ -42,7 +42,7 @@
         return True
 
     def is_wait_too_long(self, priority: int, wait: float, now: float) -> bool:
-        """Return whether the window cannot open within ``wait`` seconds."""
+        """Return whether a request cannot be sent within ``wait`` seconds."""
         return wait <= 0 or self.estimate_wait(priority, now) > wait
 
     def estimate_wait(self, priority: int, now: float) -> float:
@@ -86,5 +86,12 @@
         return items
 
     def find_opening(self, now: float) -> float | None:
-        """Return when the next may be sent; None if after an answer."""
+        """Return when the next request may be sent.
+
+        Returns
+        -------
+        float or None
+            Monotonic time; None if no request waits, or if the next one can
+            be sent only after an answer.
+        """
         return self.window.find_opening(now) if self._heap else None
--- a/sedgetide/core/requests/windows.py
+++ b/sedgetide/core/requests/windows.py
@@ -60,12 +60,18 @@
         return self._limit
 
     def find_opening(self, now: float) -> float | None:
-        """Return when another request may be sent; None if after an answer.
+        """Return when another request may be sent.
 
         Parameters
         ----------
         now : float
             Current monotonic time in seconds.
+
+        Returns
+        -------
+        float or None
+            Monotonic time; None if a request can be sent only after an
+            answer.
         """
         if self.in_flight >= max(1, int(self._limit)):
             return None
--- a/tests/core/membership/test_directory.py
+++ b/tests/core/membership/test_directory.py
@@ -23,12 +23,12 @@
     def list_names(self):
         return [each.name for each in self.directory.list_active("maps")]
 
-    def test_leaver_gets_nothing_new(self):
+    def test_leaving_upstream_gets_no_new_work(self):
         self.directory.put(make_upstream("u-1", leaving=True), 101.0)
         self.assertEqual(["u-2"], self.list_names())
         self.assertIsNotNone(self.directory.find("u-1"))
 
-    def test_disappeared_entry_is_gone_at_once_in_calm_times(self):
+    def test_disappeared_entry_is_dropped_at_once_without_an_outage(self):
         self.directory.remove("u-1", 101.0)
         self.assertEqual(["u-2"], self.list_names())
 
@@ -50,7 +50,7 @@
         self.directory.remove("u-1", 110.1)
         self.assertIsNone(self.directory.find("u-1"))
 
-    def test_whole_registry_replaces_what_was_known(self):
+    def test_full_registry_replaces_known_entries(self):
         self.directory.replace([make_upstream("u-3")], 120.0)
         self.assertEqual(["u-3"], self.list_names())
 
@@ -110,7 +110,7 @@
         self.assertIsNone(self.directory.find(self.first))
         self.assertEqual("u-1", self.directory.find(second).registered_name)
 
-    def test_late_entry_of_an_older_start_changes_nothing(self):
+    def test_late_entry_of_an_older_incarnation_is_ignored(self):
         self.directory.put(make_incarnation(9000), 101.0)
         self.directory.put(make_incarnation(5000, "10.0.0.9:80", True), 102.0)
         current = self.directory.find_current("u-1")
@@ -122,7 +122,7 @@
         self.directory.put(make_incarnation(5000), 103.0)
         self.assertEqual([], self.directory.list_all())
 
-    def test_restart_at_its_address_proves_the_end_of_the_start_before(self):
+    def test_restart_at_its_address_proves_the_previous_end(self):
         self.directory.put(make_incarnation(9000), 101.0)
         self.assertTrue(
             self.directory.is_address_reused(self.first, "10.0.0.1:80")
@@ -159,7 +159,7 @@
             self.directory.is_address_reused("u-1", "10.0.0.1:80")
         )
 
-    def test_next_good_entry_brings_it_back(self):
+    def test_next_readable_entry_makes_it_usable_again(self):
         self.directory.mark_unreadable("u-1", 101.0)
         self.directory.put(make_upstream("u-1"), 102.0)
         self.assertIsNotNone(self.directory.find_active("u-1"))
--- a/tests/core/membership/test_lenders.py
+++ b/tests/core/membership/test_lenders.py
@@ -51,7 +51,7 @@
             each.link for each in self.selector.choose(upstreams, now).hosts
         ]
 
-    def test_few_hosts_go_by_their_own_windows(self):
+    def test_few_hosts_use_their_own_windows(self):
         # The limit is four hosts per slot, including the leader, which does
         # not report.
         self.report(7, 2.0)
@@ -97,7 +97,7 @@
         chosen = self.choose(make_upstreams(20), 2.0)
         self.assertEqual([make_link(8), make_link(9)], chosen)
 
-    def test_who_lends_already_goes_on(self):
+    def test_current_lenders_are_kept(self):
         self.report(10, 2.0, weak=range(5))
         before = self.choose(make_upstreams(10), 2.0)
         self.report(10, 2.4)
@@ -158,7 +158,7 @@
         self.assertIsNotNone(self.list.find(upstream))
         self.assertIsNone(LenderList().find(upstream))
 
-    def test_version_tells_lists_apart(self):
+    def test_version_differs_between_lists(self):
         again = LenderList(tuple(list(self.list.hosts)))
         fewer = LenderList(self.list.hosts[1:])
         self.assertEqual(again.version, self.list.version)
--- a/tests/core/ownership/test_assignment.py
+++ b/tests/core/ownership/test_assignment.py
@@ -62,7 +62,7 @@
             RuleError, make_owned().assign_first, {KEYS[0]: V}, CHANGE
         )
 
-    def test_last_member_can_not_leave(self):
+    def test_last_member_cannot_be_removed(self):
         self.assertRaises(RuleError, make_owned().remove_member, A, CHANGE)
 
     def test_stored_form_keeps_everything(self):
--- a/tests/core/ownership/test_evacuation.py
+++ b/tests/core/ownership/test_evacuation.py
@@ -81,7 +81,7 @@
         )
         self.assertEqual(2, len({each.successor for each in moves}))
 
-    def test_spread_by_the_room_that_is_left(self):
+    def test_spread_by_remaining_capacity(self):
         destinations = collections.Counter(
             each.successor for each in self.plan(9)
         )
--- a/tests/core/ownership/test_leadership.py
+++ b/tests/core/ownership/test_leadership.py
@@ -38,7 +38,7 @@
         end = 101.0 + self.durations.proof_life
         self.assertFalse(self.leadership.may_order(end))
 
-    def test_record_taken_away_ends_it_at_once(self):
+    def test_removed_record_ends_it_at_once(self):
         # The store removes the record but still renews the lease. The read
         # finds the record of another host, or none.
         for found in (NO_POSITION, Position(0, 9)):
@@ -46,7 +46,7 @@
             self.assertFalse(self.leadership.note_read(found, 100.5))
             self.assertFalse(self.leadership.may_order(100.6))
 
-    def test_return_of_the_store_ends_all_proofs(self):
+    def test_restore_of_the_store_ends_all_proofs(self):
         # A restored backup may still contain the record of the past era.
         self.lead(100.0)
         self.leadership.note_era(1)
@@ -56,7 +56,7 @@
         self.assertTrue(self.leadership.may_order(end - 0.01))
         self.assertFalse(self.leadership.may_order(end))
 
-    def test_grants_bridge_the_return_of_the_store(self):
+    def test_grants_bridge_the_restore_of_the_store(self):
         # Otherwise keys are unavailable until the next leader grants them.
         self.lead(100.0)
         self.leadership.note_era(1)
@@ -101,7 +101,7 @@
         self.assertTrue(self.leadership.may_order(due))
         self.assertFalse(Leadership(self.durations).is_fresh(100.0))
 
-    def test_host_turned_away_gives_up(self):
+    def test_refused_host_ends_its_leadership(self):
         # The store refuses only this host, and another one has become the
         # leader. This host learns nothing of it, but must not consider
         # itself the leader any longer, because a leader accepts no updates
--- a/tests/core/ownership/test_leasing.py
+++ b/tests/core/ownership/test_leasing.py
@@ -42,7 +42,7 @@
         answer = ControlAnswer(token, orderer, held, **fields)
         return call.kind, self.lease.note_answer(call, answer)
 
-    def obstacle(self, now):
+    def find_reason(self, now):
         return self.lease.find_refusal_reason(KEY, LATE, now)
 
     def grant(self, now=1.0):
@@ -50,33 +50,33 @@
         self.answer(now)
 
     def test_grants_before_it_serves(self):
-        self.assertIs(Reason.NOT_KEEPER, self.obstacle(1.0))
+        self.assertIs(Reason.NOT_KEEPER, self.find_reason(1.0))
         self.assertEqual((ControlCallKind.STATUS, False), self.answer(1.0, ""))
-        self.assertIs(Reason.NO_GRANT, self.obstacle(1.0))
+        self.assertIs(Reason.NO_GRANT, self.find_reason(1.0))
         self.assertEqual((ControlCallKind.GRANT, False), self.answer(1.1))
-        self.assertIsNone(self.obstacle(1.1))
+        self.assertIsNone(self.find_reason(1.1))
 
     def test_serves_no_longer_than_the_grant_lives(self):
         self.grant(1.0)
-        self.assertIsNone(self.obstacle(1.5))
-        self.assertIs(Reason.NO_GRANT, self.obstacle(1.0 + 0.6))
+        self.assertIsNone(self.find_reason(1.5))
+        self.assertIs(Reason.NO_GRANT, self.find_reason(1.0 + 0.6))
 
     def test_serves_no_longer_than_its_proof(self):
         self.grant(1.0)
         self.lease.update(Authorization(OWNED, 1.2))
-        self.assertIs(Reason.NO_GRANT, self.obstacle(1.2))
+        self.assertIs(Reason.NO_GRANT, self.find_reason(1.2))
 
     def test_gives_no_grants_without_proof(self):
         self.grant(1.0)
         self.lease.update(Authorization(OWNED, 1.2))
         self.assertIs(ControlCallKind.STATUS, self.lease.next_call(1.3).kind)
 
-    def test_leaves_an_upstream_to_the_keeper_that_comes_first(self):
+    def test_leaves_an_upstream_to_the_keeper_with_precedence(self):
         # Two keepers that are cut off from each other both reach the
         # upstream. If they alternately overrode each other's orders, the
         # upstream would refuse the requests of both.
         self.answer(1.0, OTHER_ORDERER, held=0.3)
-        self.assertIs(Reason.NOT_KEEPER, self.obstacle(1.0))
+        self.assertIs(Reason.NOT_KEEPER, self.find_reason(1.0))
         self.assertIs(ControlCallKind.STATUS, self.lease.next_call(1.1).kind)
         self.answer(1.5, OTHER_ORDERER, held=0.0)
         self.assertIs(ControlCallKind.GRANT, self.lease.next_call(1.5).kind)
@@ -88,12 +88,12 @@
             (ControlCallKind.GRANT, True), self.answer(1.1, OTHER_ORDERER)
         )
 
-    def test_request_that_runs_is_let_end_before_a_release(self):
+    def test_running_request_ends_before_a_release(self):
         # A planned move must not interrupt a running request.
         self.grant(1.0)
         self.lease.begin_request(KEY)
         self.lease.update(Authorization(RELEASED, 100.0))
-        self.assertIs(Reason.MOVING, self.obstacle(1.1))
+        self.assertIs(Reason.MOVING, self.find_reason(1.1))
         self.assertIs(ControlCallKind.GRANT, self.lease.next_call(1.1).kind)
         self.lease.end_request(KEY)
         self.assertIs(ControlCallKind.RELEASE, self.lease.next_call(1.2).kind)
@@ -120,7 +120,7 @@
         )
         self.assertEqual({KEY: 1}, self.lease.list_lost())
         self.assertEqual({}, self.lease.next_call(1.2).shards)
-        self.assertIs(Reason.NO_GRANT, self.obstacle(1.2))
+        self.assertIs(Reason.NO_GRANT, self.find_reason(1.2))
 
     def test_silence_makes_a_loss_only_after_its_time(self):
         self.grant(1.0)
--- a/tests/core/ownership/test_limits.py
+++ b/tests/core/ownership/test_limits.py
@@ -8,7 +8,7 @@
 UPSTREAM = IncarnationName("map-1")
 
 
-class TestLimitBook(testtools.TestCase):
+class TestLimitTracker(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.tracker = LimitTracker()
--- a/tests/core/ownership/test_recovery.py
+++ b/tests/core/ownership/test_recovery.py
@@ -37,7 +37,7 @@
         self.assertEqual([], self.recovery.list_pending_releases(BOTH, 101.9))
         self.assertFalse(self.recovery.is_over((), 101.9))
 
-    def test_time_is_enough_where_one_does_not_answer(self):
+    def test_expiry_of_grants_suffices_without_an_answer(self):
         self.assertFalse(self.recovery.is_over(BOTH, 109.9))
         self.assertTrue(self.recovery.is_over(BOTH, 110.0))
         self.assertEqual([], self.recovery.list_pending_releases(BOTH, 110.0))
@@ -78,7 +78,7 @@
             [each.owner for each in began.tenures],
         )
 
-    def test_range_on_its_way_goes_to_its_successor(self):
+    def test_moving_range_goes_to_its_successor(self):
         keys = KeyRange(0, 99)
         began = self.table.begin([Move(keys, "c")]).restart(90, {"a", "c"})
         self.assertEqual("c", began.find(50).owner)
@@ -97,9 +97,9 @@
         self.assertEqual(1, len(began.tenures))
         self.assertEqual(KeyRange(0, 65535), began.tenures[0].keys)
 
-    def test_fences_never_fall(self):
+    def test_fences_never_decrease(self):
         table = RangeTable(200, self.table.tenures)
         self.assertEqual(201, table.restart(90, {"a"}).fence)
 
-    def test_nobody_to_own_them_is_an_error(self):
+    def test_no_owners_is_an_error(self):
         self.assertRaises(RuleError, self.table.restart, 90, ())
--- a/tests/core/requests/test_attempts.py
+++ b/tests/core/requests/test_attempts.py
@@ -30,7 +30,8 @@
 
     The registry lists the crashed one for three more heartbeats. The new user
     of the address refuses each request at once, so the crashed upstream would
-    seem the fastest and attract requests and retries of all hosts.
+    seem the fastest and attract requests and retries of all hosts, while the
+    other upstreams are idle.
     """
 
     def setUp(self):
@@ -52,7 +53,7 @@
             Failure.NOT_OWNER, refine_failure(Failure.NOT_OWNER, keyed=True)
         )
 
-    def test_address_of_another_is_left_out(self):
+    def test_reused_address_is_excluded(self):
         self.directory.note_foreign("u-1", 10.0)
         self.assertEqual(["u-2"], self.list_names(10.1))
         self.assertEqual(["u-2"], self.list_names(10.1, tried=["u-2"]))
--- a/tests/core/requests/test_brokenruns.py
+++ b/tests/core/requests/test_brokenruns.py
@@ -84,7 +84,7 @@
         self.directory.remove(UPSTREAM.registered_name, 8.1)
         self.assertEqual([], self.runs.pop_withdrawn(self.directory, 8.1))
 
-    def test_entry_that_lapses_while_the_store_is_away(self):
+    def test_entry_that_expires_while_the_store_is_unavailable(self):
         # Missing entries prove nothing while the store is unreachable.
         self.runs.note(UPSTREAM.name, make_run(1.0))
         self.directory.note_registry_outage(1.5)
--- a/tests/core/requests/test_coldstart.py
+++ b/tests/core/requests/test_coldstart.py
@@ -34,7 +34,7 @@
     def test_two_lenders_together_keep_to_it(self):
         self.assertEqual(7, BOUND)
 
-    def test_odd_figures(self):
+    def test_extreme_values(self):
         self.assertEqual(0, compute_cold_send_limit(0.0, 1.5, 0.0))
         self.assertEqual(0, compute_cold_send_limit(1.3, 1.0, 0.0))
         self.assertEqual(500_000, compute_cold_send_limit(1e300, 1e300, 8.0))
@@ -71,7 +71,7 @@
             sent.append(now)
         self.assertLessEqual(count_most(sent), bound)
 
-    def test_those_who_wait_go_first(self):
+    def test_waiting_requests_go_first(self):
         recent = RecentSends()
         self.assertEqual(0.0, recent.find_wait(2, 1, 10.0))
         self.assertEqual(1.25, recent.find_wait(2, 2, 10.0))
--- a/tests/core/requests/test_lenderfailover.py
+++ b/tests/core/requests/test_lenderfailover.py
@@ -1,6 +1,6 @@
 """Simulation of lender failover with many hosts in five data centres.
 
-Lenders, windows and the leader's roster are production code; hosts and
+Lenders, windows and the lender selector are production code; hosts and
 upstreams are simple models. Time is simulated, and messages take a
 millisecond.
 """
@@ -93,7 +93,7 @@
             )
             for index in range(UPSTREAMS)
         ]
-        self.roster = LenderSelector(LenderList(), 0.0)
+        self.selector = LenderSelector(LenderList(), 0.0)
         # Arrival time, whether it was answered in time, and how it ended.
         self.results = []
         self._plan(seconds)
@@ -129,15 +129,15 @@
     def _report(self):
         for host in self.hosts:
             if host.alive:
-                standing = HostStatus(host.centre, 1.0, host.lenders.version)
-                self.roster.note(host.link, standing, self.now)
-                if standing.lenders != self.roster.lenders.version:
-                    host.lenders = self.roster.lenders
+                status = HostStatus(host.centre, 1.0, host.lenders.version)
+                self.selector.note(host.link, status, self.now)
+                if status.lenders != self.selector.lenders.version:
+                    host.lenders = self.selector.lenders
             self.by_link[host.link].lender.expire(self.now)
 
     def _choose(self):
         entries = [each.entry for each in self.upstreams]
-        self.roster.choose(entries, self.now)
+        self.selector.choose(entries, self.now)
 
     # Hosts
 
@@ -255,7 +255,7 @@
         for centre in CENTRES:
             lenders = [
                 each
-                for each in simulation.roster.lenders.hosts
+                for each in simulation.selector.lenders.hosts
                 if each.data_centre == centre
             ]
             self.assertEqual(1, len(lenders))
@@ -272,7 +272,7 @@
         simulation = Simulation(16.0)
 
         def kill():
-            lost = simulation.roster.lenders.hosts[0].link
+            lost = simulation.selector.lenders.hosts[0].link
             simulation.by_link[lost].alive = False
 
         simulation.push(8.0, kill)
@@ -287,7 +287,7 @@
         simulation = Simulation(16.0)
 
         def kill():
-            for each in simulation.roster.lenders.hosts:
+            for each in simulation.selector.lenders.hosts:
                 simulation.by_link[each.link].alive = False
 
         simulation.push(8.0, kill)
--- a/tests/core/requests/test_loadbalancing.py
+++ b/tests/core/requests/test_loadbalancing.py
@@ -48,12 +48,12 @@
         free = make_candidate("free", near=False, connected=False)
         self.assertEqual("free", self.choose(full, free))
 
-    def test_suspect_is_left_alone(self):
+    def test_suspect_is_avoided(self):
         suspect = make_candidate("suspect", suspect=True)
         other = make_candidate("other", near=False, connected=False)
         self.assertEqual("other", self.choose(suspect, other))
 
-    def test_equal_ones_share(self):
+    def test_equal_upstreams_share_requests(self):
         names = ["a", "b", "c", "d"]
         source = random.Random(1)
         chosen = {
--- a/tests/core/requests/test_overdue.py
+++ b/tests/core/requests/test_overdue.py
@@ -5,7 +5,7 @@
 from sedgetide.core.requests.overdue import OverdueDetector
 
 
-class TestCallerAges(testtools.TestCase):
+class TestOverdueDetector(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.detector = OverdueDetector()
--- a/tests/core/requests/test_places.py
+++ b/tests/core/requests/test_places.py
@@ -85,7 +85,7 @@
     def test_free_place_is_granted_however_late(self):
         self.assertEqual([(1, Verdict.GRANTED)], self.ask(1, left=0.01))
 
-    def test_caller_who_leaves_frees_its_turn(self):
+    def test_caller_that_disconnects_leaves_the_queue(self):
         for number in (1, 2, 3, 4, 5):
             self.ask(number)
         self.assertEqual([], self.end(4, None))
--- a/tests/core/requests/test_quarantine.py
+++ b/tests/core/requests/test_quarantine.py
@@ -29,7 +29,7 @@
     return msgspec.msgpack.decode(data, type=QuarantineReport)
 
 
-class TestJudgement(testtools.TestCase):
+class TestDecisions(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.quarantine = Quarantine()
@@ -163,7 +163,7 @@
         lose(self.quarantine, now, DEADLY)
         self.assertEqual(3600.0, self.find(DEADLY, now))
 
-    def test_trial_that_ends_well_clears_it(self):
+    def test_successful_trial_clears_it(self):
         for at in (0.0, 4.0, 8.0):
             lose(self.quarantine, at, DEADLY)
         self.quarantine.note_end(DEADLY, 310.0)
@@ -171,7 +171,7 @@
         lose(self.quarantine, 311.0, DEADLY)
         self.assertEqual(0.0, self.find(DEADLY, 311.0))
 
-    def test_all_is_forgotten_in_the_end(self):
+    def test_all_state_expires(self):
         for at in (0.0, 4.0, 8.0):
             lose(self.quarantine, at, DEADLY)
         lose(self.quarantine, 9.0, BESIDE)
@@ -191,7 +191,7 @@
         self.assertLess(len(data), 200_000)
 
 
-class TestCopies(testtools.TestCase):
+class TestReplication(testtools.TestCase):
     """Hosts observe different losses and exchange reports."""
 
     def test_losses_of_three_hosts_add_up(self):
@@ -341,7 +341,7 @@
             max_size=25,
         )
     )
-    def test_copies_become_alike_in_any_order(self, steps):
+    def test_copies_converge_in_any_order(self, steps):
         hosts = [Quarantine() for _ in range(3)]
         now = 0.0
         for kind, host, fingerprint, upstream in steps:
--- a/tests/core/requests/test_queues.py
+++ b/tests/core/requests/test_queues.py
@@ -27,7 +27,7 @@
         self.queue.finish(0.1)
         self.assertEqual("c", self.take())
 
-    def test_class_comes_before_deadline(self):
+    def test_priority_comes_before_deadline(self):
         self.offer("archive", priority=9, deadline=10.0)
         self.offer("alert late", priority=1, deadline=50.0)
         self.offer("alert soon", priority=1, deadline=20.0)
@@ -46,7 +46,7 @@
         self.assertIsNone(self.offer("a", deadline=0.15))
         self.assertIsNotNone(self.offer("b", deadline=0.05))
 
-    def test_lapsed_requests_are_never_taken(self):
+    def test_expired_requests_are_never_taken(self):
         self.offer("a", deadline=1.0)
         self.offer("b", deadline=9.0)
         self.assertEqual(("b", ["a"]), self.queue.take(2.0))
--- a/tests/core/requests/test_ratelimits.py
+++ b/tests/core/requests/test_ratelimits.py
@@ -126,7 +126,7 @@
         strategies.sampled_from((0.0, 0.3, 1.3, 2.2, 6.0, 50.0)),
         strategies.lists(strategies.floats(0.0, 0.6), max_size=80),
     )
-    def test_no_window_holds_more_than_it_may(self, rate, pauses):
+    def test_no_window_exceeds_its_limit(self, rate, pauses):
         bucket = TokenBucket()
         bucket.note(StatedLimit(rate, 0.0, 0.0), 0.0)
         now, sent = 0.0, []
--- a/tests/core/requests/test_retryafter.py
+++ b/tests/core/requests/test_retryafter.py
@@ -79,11 +79,11 @@
 
     def test_move_is_seen_with_the_first_table_that_has_it(self):
         table = RangeTable().assign_first([("a", 2), ("b", 2)])
-        sightings = MoveObservations()
-        sightings.note_table(table, 1.0)
+        observations = MoveObservations()
+        observations.note_table(table, 1.0)
         moving = table.begin([Move(table.tenures[0].keys, "b")])
         (tenure,) = moving.list_moving()
-        self.assertIsNone(sightings.find_first_seen(tenure))
-        sightings.note_table(moving, 2.0)
-        sightings.note_table(moving, 3.0)
-        self.assertEqual(2.0, sightings.find_first_seen(tenure))
+        self.assertIsNone(observations.find_first_seen(tenure))
+        observations.note_table(moving, 2.0)
+        observations.note_table(moving, 3.0)
+        self.assertEqual(2.0, observations.find_first_seen(tenure))
--- a/tests/core/requests/test_routes.py
+++ b/tests/core/requests/test_routes.py
@@ -110,11 +110,11 @@
             deviations.append(abs(chosen / self.WINDOW - weight / 100.0))
         return deviations
 
-    def test_even_parts(self):
+    def test_even_shares(self):
         deviations = self.list_deviations(50.0)
         self.assertLess(max(deviations), 0.2)
         far = sum(deviation > 0.1 for deviation in deviations)
         self.assertLess(far / self.WINDOWS, 0.01)
 
-    def test_small_part(self):
+    def test_small_share(self):
         self.assertLess(max(self.list_deviations(10.0)), 0.1)
--- a/tests/core/requests/test_windows.py
+++ b/tests/core/requests/test_windows.py
@@ -15,7 +15,7 @@
             window.note_load(UpstreamLoad(1, 0, 2), 1.0)
         self.assertEqual(5, window.limit)
 
-    def test_tells_how_long_one_more_has_to_wait(self):
+    def test_estimate_of_the_wait(self):
         window = Window(2)
         self.assertEqual(0.0, window.estimate_wait(0, 0.2, 1.0))
         window.in_flight = 2
@@ -24,7 +24,7 @@
         self.assertLess(soon, 0.2)
         self.assertEqual(1.0, round(late - soon, 6))
 
-    def test_share_of_the_time_makes_the_wait_longer(self):
+    def test_fractional_limit_lengthens_the_wait(self):
         window = Window(2)
         for _ in range(50):
             window.note_load(UpstreamLoad(2, 6, 2), 1.0)
