--- a/sedgetide/core/ownership/handover.py
+++ b/sedgetide/core/ownership/handover.py
@@ -24,7 +24,7 @@
     revision: Revision
     epochs: dict[ShardKey, Epoch]
     longest_request: float
-    told: set[HostName] = msgspec.field(default_factory=set)
+    known_by: set[HostName] = msgspec.field(default_factory=set)
     known_at: float | None = None
 
 
@@ -112,9 +112,9 @@
         for wait in self._waits:
             if revision < wait.revision:
                 continue
-            wait.told.add(member)
-            told = wait.told & set(members)
-            if wait.known_at is None and len(told) >= count_majority(
+            wait.known_by.add(member)
+            known_by = wait.known_by & set(members)
+            if wait.known_at is None and len(known_by) >= count_majority(
                 len(members)
             ):
                 wait.known_at = now
--- a/sedgetide/core/ownership/isolation.py
+++ b/sedgetide/core/ownership/isolation.py
@@ -67,7 +67,7 @@
     At most one upstream in eight is reserved for a hot key.
     """
     found = []
-    least = max(
+    threshold = max(
         _HOT_KEY_UTILIZATION,
         _HOT_KEY_MEAN_FACTOR * loads.find_mean_utilization(),
     )
@@ -75,7 +75,7 @@
         for tenure, keys in ranges:
             for key in keys:
                 work = loads.rates[key]
-                if _find_utilization(loads, name, work) >= least:
+                if _find_utilization(loads, name, work) >= threshold:
                     found.append(_HotKey(key, name, tenure, work))
     found.sort(key=lambda hot: (-hot.work, hot.key))
     owners: set[IncarnationName] = set()
--- a/sedgetide/core/ownership/leadership.py
+++ b/sedgetide/core/ownership/leadership.py
@@ -105,7 +105,7 @@
             renew=min(self.renew, longest_hold / _RENEWALS_PER_HOLD),
         )
 
-    def bound_hold(self, hold: float) -> float:
+    def max_hold(self, hold: float) -> float:
         """Return how long a grant may still be held after it was sent."""
         return hold * (1.0 + self.clock_error) + self.margin
 
@@ -116,7 +116,7 @@
         held its record.
         """
         last = self.proof_life + self.order_timeout
-        return last + self.bound_hold(self.long_hold)
+        return last + self.max_hold(self.long_hold)
 
 
 class Leadership:
--- a/sedgetide/core/ownership/load.py
+++ b/sedgetide/core/ownership/load.py
@@ -147,16 +147,16 @@
         if self._scaled_at is None:
             return LoadEstimate({})
         self._rescale(now)
-        held = self._time_constant * (
+        weight = self._time_constant * (
             1.0 - math.exp(-seen / self._time_constant)
         )
-        squares = (
+        squared_weight = (
             self._time_constant
             * (1.0 - math.exp(-2.0 * seen / self._time_constant))
             / 2
         )
-        rates = {key: work / held for key, work in self._work.items()}
-        return LoadEstimate(rates, mean_work * squares / held**2)
+        rates = {key: work / weight for key, work in self._work.items()}
+        return LoadEstimate(rates, mean_work * squared_weight / weight**2)
 
 
 class _ServiceLoad:
@@ -192,8 +192,8 @@
         self._short += _compound_gain(_SHORT_GAIN, count) * (
             target - self._short
         )
-        least = count / (self._answers + _PRIOR_ANSWERS)
-        gain = max(least, _compound_gain(_LONG_GAIN, count))
+        min_gain = count / (self._answers + _PRIOR_ANSWERS)
+        gain = max(min_gain, _compound_gain(_LONG_GAIN, count))
         self._long += gain * (target - self._long)
 
     def note_failure(self) -> None:
@@ -207,8 +207,8 @@
         return self._long
 
 
-def _compound_gain(each: float, count: int) -> float:
-    return 1.0 - (1.0 - each) ** count
+def _compound_gain(gain: float, count: int) -> float:
+    return 1.0 - (1.0 - gain) ** count
 
 
 class LoadTracker:
--- a/sedgetide/core/ownership/ranges.py
+++ b/sedgetide/core/ownership/ranges.py
@@ -49,7 +49,7 @@
     """Ownership of a key range by one upstream.
 
     A fence is a fencing token: it increases with every change of ownership,
-    and an upstream rejects orders with a fence lower than one it has seen
+    and an upstream rejects grants with a fence lower than one it has seen
     for the same keys.
 
     Parameters
--- a/sedgetide/core/ownership/terms.py
+++ b/sedgetide/core/ownership/terms.py
@@ -100,12 +100,12 @@
             return None
         life = self._leadership.choose_hold(now)
         latest = now + self._durations.order_timeout
-        until = latest + self._durations.bound_hold(life)
+        until = latest + self._durations.max_hold(life)
         return Grant(life, self._holds.note_grant(upstream, keys, until))
 
     def note_arrival(self, grant: Grant, now: float) -> None:
         """Record that a grant was answered, or withdrawn without answer."""
-        until = now + self._durations.bound_hold(grant.life)
+        until = now + self._durations.max_hold(grant.life)
         grant.hold.until = min(grant.hold.until, until)
 
     def note_release(self, upstream: IncarnationName, keys: KeyRange) -> None:
--- a/sedgetide/core/requests/retryafter.py
+++ b/sedgetide/core/requests/retryafter.py
@@ -91,7 +91,7 @@
     return min(_MAX_QUEUE_DELAY, _MIN_FULL_DELAY + wait)
 
 
-def retry_after_owner_loss(dark: float) -> float:
+def retry_after_owner_loss(seconds: float) -> float:
     """Return the retry delay for keys whose owner cannot be reached.
 
     When a data centre is cut off, its keys have no owner until the holds
@@ -100,10 +100,10 @@
 
     Parameters
     ----------
-    dark : float
+    seconds : float
         Seconds for which this host has been unable to reach an owner.
     """
-    return round(max(STARTUP_RETRY_DELAY, _OWNER_LOSS_SECONDS - dark), 2)
+    return round(max(STARTUP_RETRY_DELAY, _OWNER_LOSS_SECONDS - seconds), 2)
 
 
 def retry_after_move(moving: float) -> float:
