--- a/sedgetide/core/ownership/handover.py
+++ b/sedgetide/core/ownership/handover.py
@@ -24,7 +24,7 @@
     revision: Revision
     epochs: dict[ShardKey, Epoch]
     longest_request: float
-    told: set[HostName] = msgspec.field(default_factory=set)
+    known_by: set[HostName] = msgspec.field(default_factory=set)
     known_at: float | None = None
 
 
@@ -54,7 +54,7 @@
         assignment: Assignment,
         longest_requests: Mapping[ShardKey, float],
     ) -> None:
-        """Start tracking the releases of the newest assignment.
+        """Update the tracked releases to those of the newest assignment.
 
         Parameters
         ----------
@@ -64,7 +64,7 @@
             Newest version that this host holds.
         longest_requests : mapping
             Longest request deadline by shard, for shards of upstreams that
-            do not reject stale orders; zero for shards that are missing.
+            do not reject stale orders. Missing shards count as zero.
         """
         releasing = {
             key: owner.epoch
@@ -112,9 +112,9 @@
         for wait in self._waits:
             if revision < wait.revision:
                 continue
-            wait.told.add(member)
-            told = wait.told & set(members)
-            if wait.known_at is None and len(told) >= count_majority(
+            wait.known_by.add(member)
+            known_by = wait.known_by & set(members)
+            if wait.known_at is None and len(known_by) >= count_majority(
                 len(members)
             ):
                 wait.known_at = now
@@ -131,7 +131,7 @@
         Parameters
         ----------
         now : float
-            Local clock.
+            Current monotonic time in seconds.
         takeover_wait : callable
             Returns the seconds to wait for a given longest request
             deadline; see :meth:`Timing.sum_takeover_wait`.
--- a/sedgetide/core/ownership/load.py
+++ b/sedgetide/core/ownership/load.py
@@ -32,6 +32,7 @@
 # Lower bound of the observed time in seconds, right after the first report.
 _MIN_OBSERVED_SECONDS = 0.3
 
+# Seconds without observations after which excess slowness counts for a third.
 _SLOWNESS_DECAY = 8.0
 # Weight of the last answer in the short-term average, which shows a slowdown
 # after four answers.
@@ -141,21 +142,21 @@
             Seconds since the first report, used to correct the average for
             a period of observation shorter than the time constant.
         now : float
-            Local clock.
+            Current monotonic time in seconds.
         """
         if self._scaled_at is None:
             return LoadEstimate({})
         self._rescale(now)
-        held = self._time_constant * (
+        weight = self._time_constant * (
             1.0 - math.exp(-seen / self._time_constant)
         )
-        squares = (
+        squared_weight = (
             self._time_constant
             * (1.0 - math.exp(-2.0 * seen / self._time_constant))
             / 2
         )
-        rates = {key: work / held for key, work in self._work.items()}
-        return LoadEstimate(rates, mean_work * squares / held**2)
+        rates = {key: work / weight for key, work in self._work.items()}
+        return LoadEstimate(rates, mean_work * squared_weight / weight**2)
 
 
 class _ServiceLoad:
@@ -191,8 +192,8 @@
         self._short += _compound_gain(_SHORT_GAIN, count) * (
             target - self._short
         )
-        least = count / (self._answers + _PRIOR_ANSWERS)
-        gain = max(least, _compound_gain(_LONG_GAIN, count))
+        min_gain = count / (self._answers + _PRIOR_ANSWERS)
+        gain = max(min_gain, _compound_gain(_LONG_GAIN, count))
         self._long += gain * (target - self._long)
 
     def note_failure(self) -> None:
@@ -206,8 +207,8 @@
         return self._long
 
 
-def _compound_gain(each: float, count: int) -> float:
-    return 1.0 - (1.0 - each) ** count
+def _compound_gain(gain: float, count: int) -> float:
+    return 1.0 - (1.0 - gain) ** count
 
 
 class LoadTracker:
