--- a/sedgetide/daemons/_crashdetector.py
+++ b/sedgetide/daemons/_crashdetector.py
@@ -1,4 +1,4 @@
-"""Finds out whether an upstream ended under a request that broke."""
+"""Determines whether a broken connection means that the upstream crashed."""
 
 from collections.abc import Callable
 
@@ -20,30 +20,30 @@
 from sedgetide.wire.probes import Presence
 from sedgetide.wire.probes import probe
 
-# Seconds; a refusal comes within two milliseconds from another data centre.
-# A host that is dark answers nothing, and the registry tells of it later.
+# Seconds; a refusal from another data centre arrives within two milliseconds.
+# A machine that is down does not answer; its entry leaves the registry later.
 _PROBE_TIMEOUT = 0.05
 # Seconds; a full upstream resets many requests at once, and each probe is one
-# more connection that it has to turn away.
-_PROBE_EVERY = 0.1
-# Characters of a target in a line of the log.
-_LONGEST_TARGET = 200
+# more connection that it has to reject.
+_PROBE_INTERVAL = 0.1
+# Characters of a request target in a log line.
+_MAX_TARGET_LENGTH = 200
 
 
-class _Probed(msgspec.Struct):
+class _ProbeResult(msgspec.Struct):
     at: float
     presence: Presence
 
 
 class CrashDetector:
-    """Tells a crash from other reasons for a broken connection.
+    """Distinguishes a crash from other causes of a broken connection.
 
     Parameters
     ----------
     directory : UpstreamDirectory
-        Upstreams as the registry shows them.
+        Upstreams by their registry entries.
     note_upstream_end : callable
-        Called with each upstream that ended, and the time.
+        Called with each upstream that ended, and the current time.
     """
 
     def __init__(
@@ -54,47 +54,47 @@
         self._directory = directory
         self._note_upstream_end = note_upstream_end
         self._runs = BrokenRuns()
-        self._probed: dict[IncarnationName, _Probed] = {}
+        self._probe_results: dict[IncarnationName, _ProbeResult] = {}
 
     def note_broken(
-        self, job: RequestContext, upstream: RegisteredUpstream
+        self, context: RequestContext, upstream: RegisteredUpstream
     ) -> None:
-        """Find out what became of an upstream that broke off.
+        """Probe an upstream after a connection to it broke.
 
-        An upstream that has announced its end is no crash.
+        The end of an upstream that has announced it is not a crash.
         """
         now = read_clock()
         if self._directory.is_leaving(upstream.name):
             return
-        self._runs.note(upstream.name, _describe(job, now))
+        self._runs.note(upstream.name, _describe_run(context, now))
         if self._probe(upstream, now) is Presence.ENDED:
-            self._conclude(
+            self._report_end(
                 self._runs.pop_ended(upstream.name, LossProof.REFUSED)
             )
 
     def _probe(self, upstream: RegisteredUpstream, now: float) -> Presence:
-        last = self._probed.get(upstream.name)
-        if last is not None and now - last.at < _PROBE_EVERY:
+        last = self._probe_results.get(upstream.name)
+        if last is not None and now - last.at < _PROBE_INTERVAL:
             return last.presence
         presence = probe(upstream.address, _PROBE_TIMEOUT)
-        self._probed[upstream.name] = _Probed(now, presence)
+        self._probe_results[upstream.name] = _ProbeResult(now, presence)
         return presence
 
     def note_answer(self, upstream: IncarnationName, began: float) -> None:
-        """Take in that an upstream answered a request sent at a time."""
+        """Record that an upstream answered a request sent at ``began``."""
         self._runs.note_answer(upstream, began)
 
     def run_periodic(self, now: float) -> None:
-        """Look for upstreams that the registry has dropped meanwhile."""
+        """Report broken upstreams whose registry entries have disappeared."""
         for ended in self._runs.pop_withdrawn(self._directory, now):
-            self._conclude(ended)
-        self._probed = {
+            self._report_end(ended)
+        self._probe_results = {
             name: each
-            for name, each in self._probed.items()
-            if now - each.at < _PROBE_EVERY
+            for name, each in self._probe_results.items()
+            if now - each.at < _PROBE_INTERVAL
         }
 
-    def _conclude(self, ended: EndedUpstream | None) -> None:
+    def _report_end(self, ended: EndedUpstream | None) -> None:
         if ended is None:
             return
         for run in ended.runs:
@@ -113,14 +113,14 @@
         self._note_upstream_end(ended, read_clock())
 
 
-def _describe(job: RequestContext, now: float) -> BrokenRun:
-    request = job.request
+def _describe_run(context: RequestContext, now: float) -> BrokenRun:
+    request = context.request
     return BrokenRun(
-        job.fields.request,
-        job.find_fingerprint(),
+        context.fields.request,
+        context.find_fingerprint(),
         now,
         request.caller,
         find_header(request.headers, "host") or "",
-        request.target[:_LONGEST_TARGET],
-        job.alone,
+        request.target[:_MAX_TARGET_LENGTH],
+        context.alone,
     )
--- a/sedgetide/daemons/_pendingverdict.py
+++ b/sedgetide/daemons/_pendingverdict.py
@@ -1,33 +1,35 @@
-"""Questions to another host, whose answer a request waits for."""
+"""Verdicts that requests wait for while another host decides."""
 
 from gevent.event import Event as Signal
 
 from sedgetide.core.identifiers import LinkAddress
 from sedgetide.core.requests.places import Verdict
 
-# Seconds for the first word. It comes within a round trip, 2 ms between data
+# Seconds. The first verdict arrives within a round trip, 2 ms between data
 # centres; a busy host needs some 20 ms more.
-_WORD = 0.12
+_FIRST_VERDICT_TIMEOUT = 0.12
 
 
 class PendingVerdict:
-    """A request that waits for another host's words.
+    """Future of another host's verdict on a request.
+
+    A queued request gets two verdicts: ``QUEUED``, then the final one.
 
     Parameters
     ----------
     number : int
-        The own host's; pairs the words with the question.
+        Message number of this host, which verdicts refer to.
     link : LinkAddress
-        Who is asked.
+        Host that decides.
 
     Attributes
     ----------
     verdict : Verdict or None
-        Last word; None until one was heard.
+        Latest verdict; None before the first.
     retry_after : float
-        Seconds after which a refused caller does well to come again.
+        Seconds after which a refused caller should retry.
     alone : bool
-        Of a trial: whether no other grave suspect runs meanwhile.
+        For a trial: whether no other strong suspect runs at the same time.
     """
 
     def __init__(self, number: int, link: LinkAddress) -> None:
@@ -36,31 +38,33 @@
         self.verdict: Verdict | None = None
         self.retry_after = 0.0
         self.alone = False
-        self._heard = Signal()
-        self._settled = Signal()
+        self._first_event = Signal()
+        self._final_event = Signal()
 
-    def take(self, verdict: Verdict, retry_after: float) -> None:
-        """Take in a word; a queued request gets a second one."""
+    def set_verdict(self, verdict: Verdict, retry_after: float) -> None:
+        """Set the verdict; ``QUEUED`` is followed by a final one."""
         self.verdict = verdict
         self.retry_after = retry_after
-        self._heard.set()
+        self._first_event.set()
         if verdict is not Verdict.QUEUED:
-            self._settled.set()
+            self._final_event.set()
 
-    def wait_first(self) -> Verdict | None:
-        """Return the first word; None when nothing was said in time."""
-        self._heard.wait(_WORD)
+    def wait_first_verdict(self) -> Verdict | None:
+        """Return the first verdict; None when none arrived in time."""
+        self._first_event.wait(_FIRST_VERDICT_TIMEOUT)
         return self.verdict
 
-    def wait_last(self, left: float) -> Verdict:
-        """Return what became of a queued request; refused when nothing did.
+    def wait_final_verdict(self, left: float) -> Verdict:
+        """Return the final verdict on a queued request.
+
+        ``REFUSED`` when none arrived in time.
 
         Parameters
         ----------
         left : float
             Seconds for which it may wait.
         """
-        self._settled.wait(left)
+        self._final_event.wait(left)
         if self.verdict is Verdict.QUEUED:
             return Verdict.REFUSED
         return self.verdict
--- a/sedgetide/daemons/_places.py
+++ b/sedgetide/daemons/_places.py
@@ -1,4 +1,4 @@
-"""Places at upstreams: asked for by each host, lent by some."""
+"""Places at upstreams: acquired by each host, granted by the lenders."""
 
 from collections.abc import Callable
 import itertools
@@ -24,42 +24,45 @@
 from sedgetide.daemons._pendingverdict import PendingVerdict
 from sedgetide.runtime.clock import read_clock
 
-# Seconds for which a lender without a word is not asked: a lost one is
-# replaced within two, and one probe a second delays few requests.
-_SILENT_FOR = 1.0
-_NUMBERS = 2**30
+# Seconds for which a lender that did not reply is not asked again. A lost
+# lender is replaced within two, and one probe a second delays few requests.
+_SILENT_PERIOD = 1.0
+_MAX_FIRST_NUMBER = 2**30
 
 Send = Callable[[LinkAddress, Message], None]
 
 
 class PlaceRefused(msgspec.Struct, frozen=True):
-    """No place in time.
+    """A lender's refusal: no place becomes free in time.
 
     Parameters
     ----------
     retry_after : float
-        Seconds after which asking again makes sense.
+        Seconds after which to ask again.
     """
 
     retry_after: float
 
 
 class Place:
-    """A place at an upstream that one request may use.
+    """Lease of one of an upstream's slots, held for a single request.
+
+    One host, the lender, leases the slots of an upstream to all hosts, which
+    do not know of each other's requests.
 
     Parameters
     ----------
-    give_back : callable
-        Called with the upstream's seconds, None without an answer, the
-        number of requests that waited there, and what the answer said of
-        the upstream's limit.
+    on_release : callable
+        Called with the service time in seconds (None without an answer), the
+        number of requests that waited at the upstream, and the limit that
+        the answer stated.
     """
 
     def __init__(
         self,
-        give_back: Callable[[float | None, int, StatedLimit | None], None],
+        on_release: Callable[[float | None, int, StatedLimit | None], None],
     ) -> None:
-        self._give_back = give_back
+        self._on_release = on_release
         self._seconds: float | None = None
         self._waiting = 0
         self._said: StatedLimit | None = None
@@ -70,30 +73,30 @@
         waiting: int,
         said: StatedLimit | None = None,
     ) -> None:
-        """Take in what the lender is to learn from the answer."""
+        """Record what to report to the lender about the answer."""
         self._seconds = seconds
         self._waiting = waiting
         self._said = said
 
-    def leave(self) -> None:
-        """Give the place back."""
-        self._give_back(self._seconds, self._waiting, self._said)
+    def release(self) -> None:
+        """Return the place to the lender."""
+        self._on_release(self._seconds, self._waiting, self._said)
 
 
 class Places:
-    """One host's dealings with places: it asks, and lends if it is named.
+    """Acquires places for a host's requests, and grants them as a lender.
 
     Parameters
     ----------
     link : LinkAddress
-        Own link address.
-    knowledge : DeploymentState
-        Names the lenders.
+        Link address of this host.
+    deployment : DeploymentState
+        Lists the lenders.
     send : callable
         Sends a message to a host.
-    source : random.Random
-        Where numbers begin: those of an earlier start of this host may
-        still be known to lenders.
+    rng : random.Random
+        Chooses the first message number, since lenders may still know
+        numbers from an earlier run of this host.
     """
 
     def __init__(
@@ -101,18 +104,18 @@
         link: LinkAddress,
         deployment: DeploymentState,
         send: Send,
-        source: random.Random,
+        rng: random.Random,
     ) -> None:
         self._link = link
         self._deployment = deployment
         self._send = send
-        self._numbers = itertools.count(source.randrange(_NUMBERS))
+        self._numbers = itertools.count(rng.randrange(_MAX_FIRST_NUMBER))
         self._pending: dict[int, PendingVerdict] = {}
         self._silent_until: dict[LinkAddress, float] = {}
         self._lender = Lender()
         self._timer: gevent.Greenlet | None = None
 
-    def enter(
+    def acquire(
         self,
         upstream: RegisteredUpstream,
         priority: int,
@@ -120,12 +123,12 @@
         cold_bound: int | None = None,
         limit: StatedLimit | None = None,
     ) -> Place | PlaceRefused | None:
-        """Wait for a place at an upstream.
+        """Ask the lender for a place at an upstream and wait for it.
 
         Parameters
         ----------
         upstream : RegisteredUpstream
-            Where.
+            The upstream.
         priority : int
             Lower is more urgent.
         left : float
@@ -134,13 +137,13 @@
             Most sends that the lender may allow while the upstream is cold;
             None when it is warm.
         limit : StatedLimit or None
-            Limit that the upstream names; None for none.
+            Rate limit that the upstream states; None for none.
 
         Returns
         -------
         Place, PlaceRefused or None
-            None when nobody lends there just now: a lender that is lost
-            must not make its upstreams unreachable.
+            None when there is no lender or it does not reply: the loss of a
+            lender must not make its upstreams unreachable.
         """
         lenders = self._deployment.lenders
         link = lenders.find(upstream)
@@ -151,7 +154,7 @@
             return None
         number = next(self._numbers)
         pending = self._pending[number] = PendingVerdict(number, link)
-        question = AskPlace(
+        message = AskPlace(
             number,
             upstream.name,
             upstream.slots,
@@ -162,23 +165,23 @@
         )
         granted = False
         try:
-            self._tell(link, question)
-            found = pending.wait_first()
-            if found is Verdict.QUEUED:
-                found = pending.wait_last(left)
-            if found is None:
-                self._silent_until[link] = read_clock() + _SILENT_FOR
-            granted = found is Verdict.GRANTED
+            self._deliver(link, message)
+            verdict = pending.wait_first_verdict()
+            if verdict is Verdict.QUEUED:
+                verdict = pending.wait_final_verdict(left)
+            if verdict is None:
+                self._silent_until[link] = read_clock() + _SILENT_PERIOD
+            granted = verdict is Verdict.GRANTED
         finally:
             del self._pending[number]
-            # Also when the caller has left, or the word comes too late: a
-            # place that nobody uses stays lost until its loan ends.
+            # Also when the caller has left or the verdict arrives too late:
+            # an unused place is lost until its lease expires.
             if not granted and pending.verdict is not Verdict.REFUSED:
-                self._tell(link, EndPlace(number))
-        PLACES.labels("silent" if found is None else found.value).inc()
+                self._deliver(link, EndPlace(number))
+        PLACES.labels("silent" if verdict is None else verdict.value).inc()
         if granted:
             return Place(
-                lambda seconds, waiting, said: self._tell(
+                lambda seconds, waiting, said: self._deliver(
                     link,
                     EndPlace(
                         number,
@@ -188,12 +191,14 @@
                     ),
                 )
             )
-        return None if found is None else PlaceRefused(pending.retry_after)
+        return None if verdict is None else PlaceRefused(pending.retry_after)
 
     def _is_silent(self, link: LinkAddress) -> bool:
         return read_clock() < self._silent_until.get(link, float("-inf"))
 
-    def _tell(self, link: LinkAddress, message: AskPlace | EndPlace) -> None:
+    def _deliver(
+        self, link: LinkAddress, message: AskPlace | EndPlace
+    ) -> None:
         if link == self._link:
             self.take(message, link)
         else:
@@ -202,12 +207,12 @@
     def take(
         self, message: AskPlace | EndPlace | PlaceVerdict, sender: LinkAddress
     ) -> None:
-        """Take in a message about a place."""
+        """Handle a message about a place."""
         now = read_clock()
         if isinstance(message, PlaceVerdict):
             pending = self._pending.get(message.number)
             if pending is not None:
-                pending.take(message.verdict, message.retry_after)
+                pending.set_verdict(message.verdict, message.retry_after)
             return
         ticket = Ticket(sender, message.number)
         if isinstance(message, AskPlace):
@@ -218,7 +223,7 @@
                 message.priority,
                 message.left,
                 now,
-                self._find_bound(message, now),
+                self._find_cold_bound(message, now),
                 None if message.limit is None else message.limit.shift(now),
             )
         else:
@@ -229,12 +234,13 @@
                 now,
                 None if message.said is None else message.said.shift(now),
             )
-        self._announce(decisions)
+        self._deliver_decisions(decisions)
 
-    def _find_bound(self, message: AskPlace, now: float) -> int | None:
-        """Return the bound of sends by whoever takes the upstream for cold.
+    def _find_cold_bound(self, message: AskPlace, now: float) -> int | None:
+        """Return the lower of both hosts' bounds for a cold upstream.
 
-        One of the two hosts knows its newer entry, and nobody can tell which.
+        One of the two hosts may know a newer entry of the upstream, but
+        neither can tell which.
         """
         entry = self._deployment.directory.find(message.upstream)
         own = None
@@ -246,26 +252,29 @@
         return min(bounds, default=None)
 
     def list_limits(self, now: float) -> dict[IncarnationName, float]:
-        """Return the limits that this host counts for all, a second."""
+        """Return the rate limits that this host enforces for all hosts.
+
+        In requests a second.
+        """
         return self._lender.list_limits(now)
 
     def run_periodic(self, now: float) -> None:
-        """Take back what lost hosts hold."""
-        self._announce(self._lender.expire(now))
+        """Reclaim the places that lost hosts hold."""
+        self._deliver_decisions(self._lender.expire(now))
 
     def _set_timer(self) -> None:
-        """Let the next request through as soon as a bound allows it."""
+        """Schedule the next grant for when the limits allow it."""
         if self._timer is not None and not self._timer.ready():
             return
         seconds = self._lender.find_opening(read_clock())
         if seconds is not None:
-            self._timer = gevent.spawn_later(seconds, self._on_time)
+            self._timer = gevent.spawn_later(seconds, self._on_timer)
 
-    def _on_time(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
         self.run_periodic(read_clock())
 
-    def _announce(self, decisions: list[Decision]) -> None:
+    def _deliver_decisions(self, decisions: list[Decision]) -> None:
         for each in decisions:
             verdict = PlaceVerdict(
                 each.ticket.number, each.verdict, round(each.retry_after, 3)
--- a/sedgetide/daemons/_quarantine.py
+++ b/sedgetide/daemons/_quarantine.py
@@ -1,10 +1,11 @@
-"""The quarantine of a host, kept like that of all others.
-
-What a host sees goes to the leader at once, and from there to all hosts that
-report to it. With each report a host names the version that it holds, so
-what was lost on the way, or learnt while the two could not talk, is made up
-for within two reports. Hosts relay whether they lead or not: while the store
-is away nobody may, and the chain of losses goes on all the same.
+"""Replicates the quarantine between all hosts.
+
+A host sends each change to the leader at once, and the leader forwards it to
+all hosts that report to it. Each report names the version of the sender's
+copy, so changes that were lost, or made while the two were disconnected, are
+exchanged within two reports. Hosts forward changes whether they lead or not:
+while the store is unavailable no host may lead, but requests continue to crash
+upstreams.
 """
 
 from collections.abc import Callable
@@ -22,29 +23,33 @@
 from sedgetide.runtime.events import Event
 from sedgetide.runtime.events import log_event
 
-# Seconds; hosts report each 0.4 s.
-_REPORTER_LIFE = 3.0
-# Seconds between two corrections of one host, and between two words to all.
-# Copies that differ for good, as where one has no room left, would otherwise
-# go to and fro without a pause. Where many upstreams end, or copies meet
-# after a cut, a word to all with each merge is more than a link carries: they
-# wait in the leader's memory until the process is ended for its size.
-_CORRECTED_EVERY = 0.3
-# Bytes a second that one host sends of it: an eighth of a link of 200 Mbit/s.
-_MOST_SENT = 3_000_000
+# Seconds; hosts report every 0.4 s.
+_REPORTER_TTL = 3.0
+# Minimum seconds between copies sent to one host, and between broadcasts.
+# Copies that differ permanently, for example because one is full, would
+# otherwise be exchanged without a pause. When many upstreams end, or a network
+# partition heals, a broadcast for each merge exceeds the capacity of a link:
+# the messages queue up in the leader's memory until its process is killed.
+_MIN_SEND_INTERVAL = 0.3
+# Bytes a second that a host sends of its quarantine: an eighth of a link of
+# 200 Mbit/s.
+_MAX_SEND_RATE = 3_000_000
 
 
 class SharedQuarantine:
-    """Asks the quarantine, feeds it, and keeps it like the others'.
+    """A host's copy of the quarantine, synchronized with those of others.
+
+    A request that crashed several upstreams is quarantined: all hosts refuse
+    it for some time, its stay.
 
     Parameters
     ----------
     quarantine : Quarantine
-        The own copy.
-    own : LinkAddress
-        Where this host takes messages.
+        Copy of this host.
+    own_link : LinkAddress
+        Link address of this host.
     find_leader_link : callable
-        Returns where the leader takes reports; None when unknown.
+        Returns the link address of the leader; None when unknown.
     send : callable
         Sends a message to a host.
     """
@@ -52,68 +57,68 @@
     def __init__(
         self,
         quarantine: Quarantine,
-        own: LinkAddress,
+        own_link: LinkAddress,
         find_leader_link: Callable[[], LinkAddress | None],
         send: Callable[[LinkAddress, Message], None],
     ) -> None:
         self._quarantine = quarantine
-        self._own = own
+        self._own_link = own_link
         self._find_leader_link = find_leader_link
         self._send = send
         self._reporters: dict[LinkAddress, float] = {}
-        self._corrected: dict[LinkAddress, float] = {}
-        self._spread_at = float("-inf")
-        self._pause = _CORRECTED_EVERY
-        self._unsaid = False
-        self._told: set[Fingerprint] = set()
+        self._copies_sent_at: dict[LinkAddress, float] = {}
+        self._broadcast_at = float("-inf")
+        self._send_interval = _MIN_SEND_INTERVAL
+        self._broadcast_pending = False
+        self._logged: set[Fingerprint] = set()
 
     # For requests
 
-    def find_stay_left(self, job: RequestContext, now: float) -> float:
-        """Return for how many seconds a request is refused still."""
+    def find_stay_left(self, context: RequestContext, now: float) -> float:
+        """Return for how many more seconds a request is refused."""
         if self._quarantine.idle:
             return 0.0
-        return self._quarantine.find_stay_left(job.find_fingerprint(), now)
+        return self._quarantine.find_stay_left(context.find_fingerprint(), now)
 
-    def is_suspect(self, job: RequestContext) -> bool:
-        """Tell whether upstreams have ended under a request."""
+    def is_suspect(self, context: RequestContext) -> bool:
+        """Return whether upstreams have ended while running a request."""
         if self._quarantine.idle:
             return False
-        return self._quarantine.is_suspect(job.find_fingerprint())
+        return self._quarantine.is_suspect(context.find_fingerprint())
 
     def is_strong_suspect(self, fingerprint: Fingerprint) -> bool:
-        """Tell whether one more loss may decide about a request."""
+        """Return whether one more loss may quarantine a request."""
         return self._quarantine.is_strong_suspect(fingerprint)
 
-    def may_retry(self, job: RequestContext) -> bool:
-        """Tell whether a request may be sent again by the host itself."""
+    def may_retry(self, context: RequestContext) -> bool:
+        """Return whether the host itself may retry a request."""
         if self._quarantine.idle:
             return True
-        return self._quarantine.may_retry(job.find_fingerprint())
+        return self._quarantine.may_retry(context.find_fingerprint())
 
-    def note_end(self, job: RequestContext, now: float) -> None:
-        """Take in that a request has ended well."""
+    def note_end(self, context: RequestContext, now: float) -> None:
+        """Record that a request has ended well."""
         if not self._quarantine.idle:
-            self.clear(job.find_fingerprint(), now)
+            self.clear(context.find_fingerprint(), now)
 
     def clear(self, fingerprint: Fingerprint, now: float) -> bool:
-        """Drop what speaks against a request; return whether that was news."""
-        news = self._quarantine.note_end(fingerprint, now)
-        if news:
-            self._spread(now)
-        return news
+        """Clear a request of suspicion; return whether it was suspect."""
+        changed = self._quarantine.note_end(fingerprint, now)
+        if changed:
+            self._broadcast(now)
+        return changed
 
     def note_upstream_end(self, ended: EndedUpstream, now: float) -> None:
-        """Take in that an upstream ended, with what it had."""
+        """Record the end of an upstream and the requests that it ran."""
         suspects = [run.fingerprint for run in ended.runs]
         alone = [run.fingerprint for run in ended.runs if run.alone]
         if self._quarantine.note_loss(
             ended.upstream, suspects, ended.at, now, alone
         ):
-            self._spread(now)
+            self._broadcast(now)
 
     def lift(self, fingerprint: Fingerprint, now: float) -> bool:
-        """Let a request through; return whether it was suspected."""
+        """Lift the quarantine of a request; return whether it was suspect."""
         lifted = self.clear(fingerprint, now)
         if lifted:
             log_event(Event.QUARANTINE_LIFTED, fingerprint=fingerprint)
@@ -124,55 +129,62 @@
     def note_report(
         self, sender: LinkAddress, version: int, now: float
     ) -> None:
-        """Take in which version a host holds that reports here."""
+        """Record the version of the copy of a host that reports here."""
         self._reporters[sender] = now
         if version != self._quarantine.version:
-            self._correct(sender, now)
+            self._send_copy(sender, now)
 
     def take(
         self, message: Quarantined, sender: LinkAddress, now: float
     ) -> None:
-        """Take in what another host holds."""
+        """Merge the copy of another host."""
         if self._quarantine.merge(message.report, now):
-            self._spread(now, but=sender)
+            self._broadcast(now, exclude=sender)
         if message.version != self._quarantine.version:
-            self._correct(sender, now)
+            self._send_copy(sender, now)
 
     def run_periodic(self, now: float) -> None:
-        """Forget what is over, and tell of what began or ended."""
+        """Drop expired entries and log which stays began or ended."""
         self._quarantine.expire(now)
-        for links in (self._reporters, self._corrected):
+        for links in (self._reporters, self._copies_sent_at):
             for link, at in list(links.items()):
-                if now - at > _REPORTER_LIFE:
+                if now - at > _REPORTER_TTL:
                     del links[link]
-        self._tell_changes(now)
-        if self._unsaid:
-            self._spread(now)
-
-    def _correct(self, link: LinkAddress, now: float) -> None:
-        last = self._corrected.get(link, float("-inf"))
-        if now - last >= self._pause:
-            self._corrected[link] = now
+        self._log_changes(now)
+        if self._broadcast_pending:
+            self._broadcast(now)
+
+    def _send_copy(self, link: LinkAddress, now: float) -> None:
+        last = self._copies_sent_at.get(link, float("-inf"))
+        if now - last >= self._send_interval:
+            self._copies_sent_at[link] = now
             self._send(link, self._make_message(now))
 
-    def _spread(self, now: float, but: LinkAddress | None = None) -> None:
-        """Tell the leader, and whoever takes this host for the leader.
+    def _broadcast(
+        self, now: float, exclude: LinkAddress | None = None
+    ) -> None:
+        """Send a copy to the leader, and to all hosts that report here.
 
-        The first word leaves at once, those that follow together.
+        The first broadcast is sent at once; changes that follow within the
+        interval are sent together.
         """
-        self._tell_changes(now)
-        self._unsaid = now - self._spread_at < self._pause
-        if self._unsaid:
+        self._log_changes(now)
+        self._broadcast_pending = (
+            now - self._broadcast_at < self._send_interval
+        )
+        if self._broadcast_pending:
             return
-        self._spread_at = now
+        self._broadcast_at = now
         links = set(self._reporters)
         leader = self._find_leader_link()
         if leader is not None:
             links.add(leader)
-        links -= {self._own, but}
+        links -= {self._own_link, exclude}
         message = self._make_message(now)
         size = len(msgspec.msgpack.encode(message.report))
-        self._pause = max(_CORRECTED_EVERY, size * len(links) / _MOST_SENT)
+        self._send_interval = max(
+            _MIN_SEND_INTERVAL, size * len(links) / _MAX_SEND_RATE
+        )
         for link in links:
             self._send(link, message)
 
@@ -180,18 +192,18 @@
         quarantine = self._quarantine
         return Quarantined(quarantine.version, quarantine.report(now))
 
-    def _tell_changes(self, now: float) -> None:
+    def _log_changes(self, now: float) -> None:
         stays = {
             each.fingerprint: each for each in self._quarantine.list_stays(now)
         }
-        for fingerprint in stays.keys() - self._told:
+        for fingerprint in stays.keys() - self._logged:
             log_event(
                 Event.QUARANTINED,
                 fingerprint=fingerprint,
                 stay=stays[fingerprint].number,
                 seconds=int(stays[fingerprint].until - now),
             )
-        for fingerprint in self._told - stays.keys():
+        for fingerprint in self._logged - stays.keys():
             log_event(Event.QUARANTINE_ENDED, fingerprint=fingerprint)
-        self._told = set(stays)
+        self._logged = set(stays)
         QUARANTINED.set(len(stays))
--- a/sedgetide/daemons/_quarantinerecord.py
+++ b/sedgetide/daemons/_quarantinerecord.py
@@ -1,4 +1,4 @@
-"""Writes the quarantine to the store, which outlives all hosts."""
+"""Writes the quarantine to the store, which survives the loss of all hosts."""
 
 import msgspec
 
@@ -12,27 +12,27 @@
 from sedgetide.runtime.events import Event
 from sedgetide.runtime.events import log_event
 
-# Seconds between two tries; the store that refused one is away, or another
-# leader's write is on its way here.
-_TRY_EVERY = 1.0
-# Seconds between two writes that only drop something. What is left there too
-# long costs one run of an innocent request after the loss of all hosts.
-_REMOVED_EVERY = 10.0
+# Seconds between two attempts. After a failed one the store is unavailable, or
+# another leader's write has not arrived here yet.
+_RETRY_INTERVAL = 1.0
+# Seconds between two writes that only remove something. An entry that is kept
+# too long costs one trial of an innocent request after the loss of all hosts.
+_REMOVAL_INTERVAL = 10.0
 
 
 class QuarantineWriter:
-    """The leader's task of keeping the record of the quarantine true.
+    """Keeps the stored quarantine up to date while this host leads.
 
-    All hosts may be lost at once, and the callers of deadly requests come
-    again: without the record it took three more upstreams to know them, and
-    the copies under the first of these ran at once.
+    All hosts may be lost at once while callers repeat a request that crashes
+    upstreams. Without the record it took three more upstreams to quarantine
+    it again, and copies ran at the same time before the first loss.
 
     Parameters
     ----------
     store : LeaseStore
-        The leader's client.
-    knowledge : DeploymentState
-        Has the quarantine, and what the store holds of it.
+        The leader's client of the store.
+    deployment : DeploymentState
+        Holds the quarantine, and the record as the store has it.
     """
 
     def __init__(self, store: LeaseStore, deployment: DeploymentState) -> None:
@@ -41,14 +41,15 @@
         self._tried_at = float("-inf")
 
     def run_periodic(self, term: Position, now: float) -> None:
-        """Write stays and losses if they are others than in the store.
+        """Write stays and losses if they differ from those in the store.
 
         Parameters
         ----------
         term : Position
-            Of the own leader's record, under which alone it is written.
+            Position of this host's leader record; the write fails under any
+            other.
         now : float
-            Own clock.
+            Current time by the host's clock.
         """
         quarantine = self._deployment.quarantine
         recorded = self._deployment.recorded_quarantine
@@ -56,7 +57,7 @@
         if recorded.record.has_same_content(record):
             return
         covered = recorded.record.covers(record)
-        pause = _REMOVED_EVERY if covered else _TRY_EVERY
+        pause = _REMOVAL_INTERVAL if covered else _RETRY_INTERVAL
         if now - self._tried_at < pause:
             return
         self._tried_at = now
--- a/sedgetide/daemons/_requestcontext.py
+++ b/sedgetide/daemons/_requestcontext.py
@@ -1,4 +1,4 @@
-"""A request on its way, from its arrival to its final answer."""
+"""State of a request from its arrival to its final answer."""
 
 import msgspec
 
@@ -17,38 +17,40 @@
 
 
 class RequestContext(msgspec.Struct):
-    """One request on its way.
+    """State of one request while a host serves it.
 
     Parameters
     ----------
     request, fields : Request, CallerFields
-        What the caller sent.
+        The caller's request, and the values of its headers for the router.
     route, service, keyed : RouteRule, ServiceName, bool
-        Where it goes, and whether only the owner of its key may run it.
+        Its route and service, and whether only the owner of its key may run
+        it.
     times : RequestTimes
-        Its times by the own clock.
+        Arrival and deadlines by the host's clock.
     progress : Progress
-        What has become of it so far.
+        Result of the attempts so far.
     answer : Answer or None
-        Last answer that may be passed on.
+        Last answer that may be returned to the caller.
     retry_after : float
-        Seconds after which the caller does well to come again.
+        Seconds after which the caller should retry.
     note : str
-        Why it got no answer, for the log.
+        Why it got no answer; logged.
     unreached : int
-        Connections that did not open.
+        Number of failed connection attempts.
     overdue : bool
-        Whether its caller was refused before and is late already.
+        Whether the caller was refused before and is already late.
     fence : int
-        Fence under which it was sent last.
+        Fence under which it was last sent.
     held, rested : float
-        Seconds that it waited here, and that its connection had been idle.
+        Seconds that it waited on this host before the first send, and that
+        its connection to the upstream had been idle.
     failures : list of Failure
-        Of its attempts so far, in order.
+        Failures of its attempts so far, in order.
     alone : bool
-        Whether it runs while no other grave suspect of its service does.
+        Whether no other strong suspect of its service runs at the same time.
     fingerprint : Fingerprint or None
-        Once it was asked for; see :meth:`find_fingerprint`.
+        Computed on first use; see :meth:`find_fingerprint`.
     """
 
     request: Request
@@ -71,7 +73,7 @@
     fingerprint: Fingerprint | None = None
 
     def find_fingerprint(self) -> Fingerprint:
-        """Return what stands for the request and each repeat of it."""
+        """Return the fingerprint that the request and its repeats share."""
         if self.fingerprint is None:
             request = self.request
             self.fingerprint = make_fingerprint(
--- a/sedgetide/daemons/_requestlog.py
+++ b/sedgetide/daemons/_requestlog.py
@@ -1,4 +1,4 @@
-"""What is told of requests: logs and metrics."""
+"""Logs and metrics of requests."""
 
 from sedgetide.backends.dialects import CallerFields
 from sedgetide.daemons._deployment import DeploymentState
@@ -14,59 +14,61 @@
 from sedgetide.wire.messages import Request
 
 
-def count_end(job: RequestContext, began: float) -> None:
+def record_metrics(context: RequestContext, began: float) -> None:
     """Count a request and its times in the metrics."""
-    progress = job.progress
+    progress = context.progress
     REQUESTS.labels(
-        job.service, progress.outcome.value, progress.failure.value
+        context.service, progress.outcome.value, progress.failure.value
     ).inc()
-    REQUEST_SECONDS.labels(job.service).observe(read_clock() - began)
+    REQUEST_SECONDS.labels(context.service).observe(read_clock() - began)
     if progress.sends:
-        HELD_SECONDS.labels(job.service).observe(job.held)
-        SENDS.labels(job.service).inc(progress.sends)
+        HELD_SECONDS.labels(context.service).observe(context.held)
+        SENDS.labels(context.service).inc(progress.sends)
 
 
 class RequestLog:
-    """Tells by what a request was decided, and how old that was.
+    """Logs requests with the state that decided them, and its age.
 
     Parameters
     ----------
-    knowledge : DeploymentState
-        What the host knows of the deployment.
+    deployment : DeploymentState
+        State of the deployment as this host knows it.
     """
 
     def __init__(self, deployment: DeploymentState) -> None:
         self._deployment = deployment
 
-    def tell_end(self, job: RequestContext, status: int, began: float) -> None:
-        """Log the end of a request; status 0: its caller left."""
-        known = self._deployment.tables.get(job.service)
+    def log_end(
+        self, context: RequestContext, status: int, began: float
+    ) -> None:
+        """Log the end of a request; status 0 means that its caller left."""
+        known = self._deployment.tables.get(context.service)
         now = read_clock()
         log_event(
             Event.REQUEST,
-            id=job.fields.request,
-            route=job.route.name,
-            service=job.service,
-            key=job.fields.key,
+            id=context.fields.request,
+            route=context.route.name,
+            service=context.service,
+            key=context.fields.key,
             status=status,
-            outcome=job.progress.outcome.value,
-            failure=job.progress.failure.value,
-            failures=",".join(each.value for each in job.failures),
-            note=job.note,
-            caller=job.request.caller,
-            fingerprint=job.fingerprint or "",
-            upstreams=",".join(job.progress.tried),
+            outcome=context.progress.outcome.value,
+            failure=context.progress.failure.value,
+            failures=",".join(each.value for each in context.failures),
+            note=context.note,
+            caller=context.request.caller,
+            fingerprint=context.fingerprint or "",
+            upstreams=",".join(context.progress.tried),
             ms=int((now - began) * 1000),
-            held_ms=int(job.held * 1000),
-            rested_ms=int(job.rested * 1000),
+            held_ms=int(context.held * 1000),
+            rested_ms=int(context.rested * 1000),
             version=self._deployment.policy.version,
             revision=0 if known is None else known.position,
-            fence=job.fence,
+            fence=context.fence,
             age_ms=int((now - self._deployment.heard_at) * 1000),
         )
 
-    def tell_denied(self, fields: CallerFields, request: Request) -> None:
-        """Log a request without a route."""
+    def log_denied(self, fields: CallerFields, request: Request) -> None:
+        """Log a request that matches no route."""
         log_event(
             Event.DENIED,
             id=fields.request,
--- a/sedgetide/daemons/_requestrouter.py
+++ b/sedgetide/daemons/_requestrouter.py
@@ -1,4 +1,4 @@
-"""From a caller's request to its final answer."""
+"""Routes a caller's request to an upstream and returns its final answer."""
 
 import random
 
@@ -34,7 +34,7 @@
 from sedgetide.daemons._places import Places
 from sedgetide.daemons._quarantine import SharedQuarantine
 from sedgetide.daemons._requestcontext import RequestContext
-from sedgetide.daemons._requestlog import count_end
+from sedgetide.daemons._requestlog import record_metrics
 from sedgetide.daemons._requestlog import RequestLog
 from sedgetide.daemons._sender import Sender
 from sedgetide.daemons._trials import Trial
@@ -47,84 +47,90 @@
 from sedgetide.wire.messages import find_header
 from sedgetide.wire.messages import Request
 
-# Seconds; news of a move that has just ended are there by then.
+# Seconds; by then this host has received the result of a move that has just
+# ended.
 _NOT_OWNER_PAUSE = 0.03
-# Seconds; a fifth of what requests take, so that a slot may be free.
+# Seconds; a fifth of the usual service time, so a slot may have become free.
 _BUSY_PAUSE = 0.04
-_MOST_UNREACHED = 3
+_MAX_UNREACHED = 3
 
 
 class RequestRouter:
-    """Serves the requests of one host.
+    """Serves all requests that callers send to one host.
 
     Parameters
     ----------
-    knowledge : DeploymentState
-        What is known of the deployment.
+    deployment : DeploymentState
+        State of the deployment as this host knows it.
     dialect : RequestDialect
-        Headers.
-    lanes : UpstreamChannels
-        Ways to upstreams.
+        Reads and writes the headers of requests and answers.
+    channels : UpstreamChannels
+        Connections and windows of all upstreams.
     places : Places
-        Places at upstreams, where hosts lend them.
+        Acquires places from the lenders of upstreams.
     meter : LoadMeter
-        Counts load for the leader.
+        Measures load for the reports to the leader.
     data_centre : str
-        Own data centre.
+        Data centre of this host.
     partitions : PartitionDetector
-        Learns from each request what can be reached.
-    breaks : CrashDetector
-        Finds out why connections to upstreams break.
+        Records which data centres answer.
+    crash_detector : CrashDetector
+        Determines whether a broken connection means a crashed upstream.
     quarantine : SharedQuarantine
-        RequestRouter that end the upstreams that run them.
+        Refuses requests that crash the upstreams that run them.
     trials : Trials
-        Leave to run those that are suspected of it.
-    retries : RetryPolicy
-        What the deployment grants.
-    source : random.Random
-        Blurs choices, on each host in its own way.
+        Runs suspect requests one copy at a time across all hosts.
+    retry_policy : RetryPolicy
+        Retries that the deployment allows.
+    rng : random.Random
+        Randomizes the choice of upstreams; seeded differently on each host.
     """
 
     def __init__(
         self,
         deployment: DeploymentState,
         dialect: RequestDialect,
-        lanes: UpstreamChannels,
+        channels: UpstreamChannels,
         places: Places,
         meter: LoadMeter,
         data_centre: str,
         partitions: PartitionDetector,
-        breaks: CrashDetector,
+        crash_detector: CrashDetector,
         quarantine: SharedQuarantine,
         trials: Trials,
-        retries: RetryPolicy,
-        source: random.Random,
+        retry_policy: RetryPolicy,
+        rng: random.Random,
     ) -> None:
-        usual = AnswerAverages()
+        answer_averages = AnswerAverages()
         self._deployment = deployment
         self._dialect = dialect
         self._meter = meter
         self._partitions = partitions
         self._quarantine = quarantine
         self._trials = trials
-        self._retries = retries
-        self._ages = OverdueDetector()
+        self._retry_policy = retry_policy
+        self._overdue_detector = OverdueDetector()
         self._budgets: dict[ServiceName, RetryBudget] = {}
-        self._passages = UpstreamSelector(
-            deployment, lanes, places, usual, data_centre, source
+        self._selector = UpstreamSelector(
+            deployment, channels, places, answer_averages, data_centre, rng
         )
         self._sender = Sender(
-            deployment, dialect, meter, partitions, usual, breaks
+            deployment,
+            dialect,
+            meter,
+            partitions,
+            answer_averages,
+            crash_detector,
         )
         self._log = RequestLog(deployment)
 
     def read_limits(self) -> CallerLimits:
-        """Return the bounds of callers in force."""
+        """Return the caller limits in force."""
         policy = self._deployment.policy
         return CallerLimits() if policy is None else policy.limits
 
     def is_idempotent(self, request: Request) -> bool:
-        """Tell whether a request may run beside others of its caller."""
+        """Return whether other requests of its caller may run beside it."""
         route = self._match(request)
         return route is None or route.idempotent
 
@@ -135,33 +141,33 @@
         return self._deployment.routes.match(host, request.path)
 
     def serve(self, request: Request) -> Answer:
-        """Bring a request to its final answer."""
+        """Serve a request and return its final answer."""
         began = read_clock()
         if self._deployment.routes is None:
-            return _refuse(STARTUP_RETRY_DELAY)
+            return _make_refusal(STARTUP_RETRY_DELAY)
         try:
             fields = self._dialect.read_request(request.headers)
         except ValueError as error:
-            return _say(400, str(error))
+            return _make_error_answer(400, str(error))
         route = self._match(request)
         if route is None:
-            self._log.tell_denied(fields, request)
-            return _say(404, "no route")
-        job = self._make_job(request, fields, route, began)
+            self._log.log_denied(fields, request)
+            return _make_error_answer(404, "no route")
+        context = self._make_context(request, fields, route, began)
         try:
-            budget = self._find_budget(job.service)
-            budget.limit(self._bound_burst())
+            budget = self._find_budget(context.service)
+            budget.limit(self._compute_burst_limit())
             budget.note_request()
-            answer = self._run(job)
+            answer = self._run_attempts(context)
         except gevent.GreenletExit:
-            self._log.tell_end(job, 0, began)
+            self._log.log_end(context, 0, began)
             raise
-        self._log.tell_end(job, answer.status, began)
-        count_end(job, began)
-        self._partitions.note_end(job.progress.outcome is Outcome.ANSWERED)
+        self._log.log_end(context, answer.status, began)
+        record_metrics(context, began)
+        self._partitions.note_end(context.progress.outcome is Outcome.ANSWERED)
         return answer
 
-    def _make_job(
+    def _make_context(
         self,
         request: Request,
         fields: CallerFields,
@@ -175,7 +181,7 @@
             self._meter.note_request(route.name, service, fields.key)
         times = compute_times(route, fields.deadline, began)
         objective = times.objective - began
-        overdue = self._ages.is_overdue(
+        overdue = self._overdue_detector.is_overdue(
             route.name, fields.deadline, objective, began
         )
         return RequestContext(
@@ -193,134 +199,141 @@
         budget = self._budgets.get(service)
         if budget is None:
             budget = RetryBudget(
-                self._retries.ratio, self._bound_burst(), FIRST_TOKENS
+                self._retry_policy.ratio,
+                self._compute_burst_limit(),
+                FIRST_TOKENS,
             )
             self._budgets[service] = budget
         return budget
 
-    def _bound_burst(self) -> float:
-        return compute_burst_limit(self._retries.slack, self._deployment.hosts)
+    def _compute_burst_limit(self) -> float:
+        return compute_burst_limit(
+            self._retry_policy.slack, self._deployment.hosts
+        )
 
     # Attempts
 
-    def _run(self, job: RequestContext) -> Answer:
-        while not self._is_quarantined(job):
-            with self._trials.open(job) as trial:
-                sent = self._try_once(job, trial)
+    def _run_attempts(self, context: RequestContext) -> Answer:
+        while not self._is_quarantined(context):
+            with self._trials.open(context) as trial:
+                sent = self._attempt(context, trial)
             if not sent:
                 break
-            if job.progress.failure is Failure.NONE:
-                # Whatever it says, the upstream has lived through the run.
-                self._quarantine.note_end(job, read_clock())
-                return job.answer
-            if not self._may_go_on(job):
+            if context.progress.failure is Failure.NONE:
+                # The upstream survived the run, whatever the answer says.
+                self._quarantine.note_end(context, read_clock())
+                return context.answer
+            if not self._should_retry(context):
                 break
-        return self._conclude(job)
+        return self._make_final_answer(context)
 
-    def _try_once(self, job: RequestContext, trial: Trial) -> bool:
-        """Send a request once; return whether it might be sent."""
+    def _attempt(self, context: RequestContext, trial: Trial) -> bool:
+        """Send a request once; return False if it may not be sent."""
         while True:
-            passage = self._passages.find(job)
-            if passage is None:
+            permit = self._selector.acquire(context)
+            if permit is None:
                 return False
             try:
-                # While its key has no owner, a request waits for the next
-                # one, and may have become known meanwhile.
-                if self._is_quarantined(job):
+                # The request may have been quarantined while it waited for
+                # its key to get an owner.
+                if self._is_quarantined(context):
                     return False
                 verdict = trial.ask()
                 if verdict is Verdict.REFUSED:
                     return False
                 if verdict is not Verdict.QUEUED:
-                    if self._send(job, passage, trial):
+                    if self._send(context, permit, trial):
                         return True
                     continue
             finally:
-                passage.leave()
+                permit.release()
             if not trial.wait():
                 return False
 
     def _send(
-        self, job: RequestContext, passage: SendPermit, trial: Trial
+        self, context: RequestContext, permit: SendPermit, trial: Trial
     ) -> bool:
-        """Send a request, unless its passage has become void meanwhile."""
-        trial.begin()
+        """Send a request; return False if its permit is no longer valid."""
+        trial.mark_sending()
         sent = self._sender.attempt(
-            job, passage, lambda: self._passages.may_send(job, passage)
+            context, permit, lambda: self._selector.may_send(context, permit)
         )
         if sent:
-            trial.note(job.progress.failure)
+            trial.note_result(context.progress.failure)
         else:
-            trial.withdraw()
+            trial.mark_not_sent()
         return sent
 
-    def _is_quarantined(self, job: RequestContext) -> bool:
-        """Tell whether a request is refused since upstreams end under it."""
-        left = self._quarantine.find_stay_left(job, read_clock())
-        if left <= 0.0:
+    def _is_quarantined(self, context: RequestContext) -> bool:
+        """Return whether a request is quarantined, and record the refusal."""
+        remaining = self._quarantine.find_stay_left(context, read_clock())
+        if remaining <= 0.0:
             return False
-        job.note = "quarantined"
-        job.retry_after = left
-        QUARANTINE_REFUSALS.labels(job.service).inc()
+        context.note = "quarantined"
+        context.retry_after = remaining
+        QUARANTINE_REFUSALS.labels(context.service).inc()
         return True
 
-    def _may_go_on(self, job: RequestContext) -> bool:
+    def _should_retry(self, context: RequestContext) -> bool:
         now = read_clock()
-        if job.progress.failure is Failure.UNREACHABLE:
-            return self._may_look_elsewhere(job, now)
+        if context.progress.failure is Failure.UNREACHABLE:
+            return self._should_reconnect(context, now)
         if not may_send_again(
-            job.route, job.progress, job.keyed, job.times, now
+            context.route, context.progress, context.keyed, context.times, now
         ):
             return False
-        left = self._passages.find_backoff(job, now)
-        if left > 0.0:
-            job.note = Wait.BACKING_OFF.value
-            job.retry_after = retry_after_backoff(left)
+        backoff = self._selector.find_backoff(context, now)
+        if backoff > 0.0:
+            context.note = Wait.BACKING_OFF.value
+            context.retry_after = retry_after_backoff(backoff)
             return False
-        if not self._quarantine.may_retry(job):
-            job.note = "suspect"
+        if not self._quarantine.may_retry(context):
+            context.note = "suspect"
             return False
-        if not self._find_budget(job.service).spend():
-            job.note = "no retry budget"
-            RETRIES.labels(job.service, "refused").inc()
+        if not self._find_budget(context.service).spend():
+            context.note = "no retry budget"
+            RETRIES.labels(context.service, "refused").inc()
             return False
-        RETRIES.labels(job.service, "spent").inc()
-        if job.progress.failure is Failure.NOT_OWNER:
+        RETRIES.labels(context.service, "spent").inc()
+        if context.progress.failure is Failure.NOT_OWNER:
             self._deployment.changes.wait(_NOT_OWNER_PAUSE)
-        elif job.progress.failure is Failure.BUSY:
+        elif context.progress.failure is Failure.BUSY:
             gevent.sleep(_BUSY_PAUSE)
         return True
 
-    def _may_look_elsewhere(self, job: RequestContext, now: float) -> bool:
-        """Tell whether to go on after a connection that did not open.
+    def _should_reconnect(self, context: RequestContext, now: float) -> bool:
+        """Return whether to try again after a failed connection attempt.
 
-        Nothing arrived anywhere, so this is no retry; but the owner of a
-        key is the only one that may run its requests.
+        No upstream received the request, so this does not count as a retry.
+        A request with a key waits for a change of the deployment first,
+        since only the owner of the key may run it.
         """
-        job.unreached += 1
+        context.unreached += 1
         if (
-            job.unreached > _MOST_UNREACHED
-            or now >= job.times.find_hold_deadline()
+            context.unreached > _MAX_UNREACHED
+            or now >= context.times.find_hold_deadline()
         ):
             return False
-        if job.keyed:
-            self._deployment.changes.wait(job.times.find_hold_deadline() - now)
+        if context.keyed:
+            self._deployment.changes.wait(
+                context.times.find_hold_deadline() - now
+            )
         return True
 
-    def _conclude(self, job: RequestContext) -> Answer:
-        """Return the final answer of a request that none was got for."""
-        if job.progress.outcome is Outcome.NOT_RUN:
-            return _refuse(job.retry_after)
-        if job.answer is not None:
-            return job.answer
-        silent = job.progress.failure is Failure.SILENT
-        return _say(504 if silent else 502, "may have run")
+    def _make_final_answer(self, context: RequestContext) -> Answer:
+        """Return the final answer of a request without a usable answer."""
+        if context.progress.outcome is Outcome.NOT_RUN:
+            return _make_refusal(context.retry_after)
+        if context.answer is not None:
+            return context.answer
+        silent = context.progress.failure is Failure.SILENT
+        return _make_error_answer(504 if silent else 502, "may have run")
 
 
-def _refuse(retry_after: float) -> Answer:
-    """Return the answer of a request that has not run and never will."""
+def _make_refusal(retry_after: float) -> Answer:
+    """Return the answer of a request that has not run and will not run."""
     return Answer(503, [("Retry-After", f"{retry_after:g}")], b"not run\n")
 
 
-def _say(status: int, text: str) -> Answer:
+def _make_error_answer(status: int, text: str) -> Answer:
     return Answer(status, [], text.encode() + b"\n")
--- a/sedgetide/daemons/_sender.py
+++ b/sedgetide/daemons/_sender.py
@@ -1,4 +1,4 @@
-"""One send of a request to an upstream, and what its answer tells."""
+"""Sends a request to an upstream once and evaluates the answer."""
 
 from collections.abc import Callable
 
@@ -36,29 +36,29 @@
 from sedgetide.wire.messages import drop_hop_headers
 from sedgetide.wire.messages import Request
 
-# Seconds; a handshake between data centres takes two milliseconds, a lost
-# packet of it is sent again after 0.2 s.
+# Seconds; a handshake between data centres takes two milliseconds, and a lost
+# handshake packet is retransmitted after 0.2 s.
 _CONNECT_TIMEOUT = 0.4
-_LONGEST_DETAIL = 80
+_MAX_DETAIL_LENGTH = 80
 
 
 class Sender:
-    """Sends requests and learns from what comes back.
+    """Sends requests and updates the host's state from the answers.
 
     Parameters
     ----------
-    knowledge : DeploymentState
-        What is known of the deployment.
+    deployment : DeploymentState
+        State of the deployment as this host knows it.
     dialect : RequestDialect
-        Headers.
+        Reads and writes the headers of requests and answers.
     meter : LoadMeter
-        Counts load for the leader.
+        Measures load for the reports to the leader.
     partitions : PartitionDetector
-        Learns from each request what can be reached.
-    usual : AnswerAverages
-        Learns what requests take.
-    breaks : CrashDetector
-        Finds out why connections break.
+        Records which data centres answer.
+    answer_averages : AnswerAverages
+        Averages service times and answer sizes.
+    crash_detector : CrashDetector
+        Determines whether a broken connection means a crashed upstream.
     """
 
     def __init__(
@@ -67,167 +67,178 @@
         dialect: RequestDialect,
         meter: LoadMeter,
         partitions: PartitionDetector,
-        usual: AnswerAverages,
-        breaks: CrashDetector,
+        answer_averages: AnswerAverages,
+        crash_detector: CrashDetector,
     ) -> None:
         self._deployment = deployment
         self._dialect = dialect
         self._meter = meter
         self._partitions = partitions
-        self._usual = usual
-        self._breaks = breaks
+        self._averages = answer_averages
+        self._crash_detector = crash_detector
 
     def attempt(
         self,
-        job: RequestContext,
-        passage: SendPermit,
+        context: RequestContext,
+        permit: SendPermit,
         may_send: Callable[[], bool],
     ) -> bool:
-        """Send a request once; its progress tells what became of it.
+        """Send a request once and record the result in its progress.
 
         Parameters
         ----------
+        context : RequestContext
+            The request.
+        permit : SendPermit
+            Permission to send it, and the upstream.
         may_send : callable
-            Tells right before the send whether the passage still holds: to
-            open a connection takes up to 0.4 s.
+            Called right before the send; returns whether the permit is
+            still valid, since opening a connection takes up to 0.4 s.
 
         Returns
         -------
         bool
-            False when it does not, and nothing was sent.
+            False when the permit was no longer valid and nothing was sent.
         """
-        progress = job.progress
-        target, lane = passage.target, passage.lane
+        progress = context.progress
+        target, channel = permit.target, permit.channel
         now = read_clock()
-        if now >= job.times.final:
-            job.note = "too late"
+        if now >= context.times.final:
+            context.note = "too late"
             progress.failure = Failure.UNREACHABLE
             return True
         try:
-            connection = lane.pool.take(
-                min(_CONNECT_TIMEOUT, job.times.final - now),
-                _choose_rest(job, lane, now),
+            connection = channel.pool.take(
+                min(_CONNECT_TIMEOUT, context.times.final - now),
+                _choose_max_idle(context, channel, now),
             )
         except UpstreamError as error:
             if error.code is ErrorCode.UPSTREAM_UNREACHABLE:
-                lane.health.note_unreached(now)
-                if job.keyed:
-                    absence = lane.health.find_unreachable_time(read_clock())
-                    job.retry_after = retry_after_owner_loss(absence)
-            self._note_failure(job, passage, Failure.UNREACHABLE)
+                channel.health.note_unreached(now)
+                if context.keyed:
+                    absence = channel.health.find_unreachable_time(
+                        read_clock()
+                    )
+                    context.retry_after = retry_after_owner_loss(absence)
+            self._note_failure(context, permit, Failure.UNREACHABLE)
             return True
         if not may_send():
-            lane.pool.give_back(connection)
+            channel.pool.give_back(connection)
             return False
         progress.sends += 1
         progress.tried.append(target.upstream.name)
         began = read_clock()
         if progress.sends == 1:
-            job.held = began - job.times.began
-        job.fence = target.fence
-        job.rested = connection.rested
-        # Until an answer tells otherwise, it may have run.
+            context.held = began - context.times.began
+        context.fence = target.fence
+        context.rested = connection.rested
+        # Until an answer arrives, the upstream may have run the request.
         before, progress.outcome = progress.outcome, Outcome.UNKNOWN
         try:
             answer = connection.exchange(
-                self._make_send(job, target, began),
-                max(0.001, job.times.final - began),
-                self._make_test(job),
+                self._build_request(context, target, began),
+                max(0.001, context.times.final - began),
+                self._make_response_check(context),
             )
         except UpstreamError as error:
             silent = error.code is ErrorCode.UPSTREAM_SILENT
             if not silent:
-                lane.rests.note_reset(connection.rested, read_clock())
+                channel.idle_limit.note_reset(connection.rested, read_clock())
             failure = Failure.SILENT if silent else Failure.BROKEN
-            self._note_failure(job, passage, failure)
-            job.note = error.detail[:_LONGEST_DETAIL]
+            self._note_failure(context, permit, failure)
+            context.note = error.detail[:_MAX_DETAIL_LENGTH]
             if not silent:
-                self._breaks.note_broken(job, target.upstream)
+                self._crash_detector.note_broken(context, target.upstream)
             return True
-        self._breaks.note_answer(target.upstream.name, began)
-        lane.pool.give_back(connection)
+        self._crash_detector.note_answer(target.upstream.name, began)
+        channel.pool.give_back(connection)
         self._partitions.note_reached(
             target.upstream.data_centre, read_clock()
         )
-        self._take_answer(job, passage, answer, before, began)
+        self._handle_answer(context, permit, answer, before, began)
         return True
 
-    def _make_send(
-        self, job: RequestContext, target: Target, now: float
+    def _build_request(
+        self, context: RequestContext, target: Target, now: float
     ) -> Request:
-        headers = drop_hop_headers(job.request.headers)
+        headers = drop_hop_headers(context.request.headers)
         return Request(
-            job.request.method,
-            job.request.target,
+            context.request.method,
+            context.request.target,
             self._dialect.write_request(
                 headers,
-                job.fields,
-                job.times.final - now,
+                context.fields,
+                context.times.final - now,
                 target.upstream.registered_name,
             ),
-            job.request.body,
+            context.request.body,
         )
 
-    def _make_test(
-        self, job: RequestContext
+    def _make_response_check(
+        self, context: RequestContext
     ) -> Callable[[list[tuple[str, str]]], bool]:
-        def belongs(headers: list[tuple[str, str]]) -> bool:
+        def is_own_answer(headers: list[tuple[str, str]]) -> bool:
             found = self._dialect.read_request_id(headers)
-            return found is None or found == job.fields.request
+            return found is None or found == context.fields.request
 
-        return belongs
+        return is_own_answer
 
-    def _take_answer(
+    def _handle_answer(
         self,
-        job: RequestContext,
-        passage: SendPermit,
+        context: RequestContext,
+        permit: SendPermit,
         answer: Answer,
         before: Outcome,
         began: float,
     ) -> None:
         now = read_clock()
-        target, lane = passage.target, passage.lane
+        target, channel = permit.target, permit.channel
         load = self._read_load(target, answer)
         if load is not None:
-            lane.window.note_load(load, now)
-            lane.admit()
+            channel.window.note_load(load, now)
+            channel.admit()
         failure = refine_failure(
             self._dialect.classify_answer(answer.status, answer.headers),
-            job.keyed,
+            context.keyed,
         )
-        said = self._hear_pushback(target, answer, failure, began, now)
-        if passage.place is not None:
+        said = self._apply_pushback(target, answer, failure, began, now)
+        if permit.place is not None:
             waiting = 0 if load is None else load.waiting
             whole = failure is Failure.NONE
-            passage.place.note_answer(
+            permit.place.note_answer(
                 now - began if whole else None, waiting, said
             )
         if failure is Failure.NONE:
-            lane.health.note_success(now - began)
-            self._usual.note_answer(
-                job.route.name, job.service, now - began, len(answer.body)
+            channel.health.note_success(now - began)
+            self._averages.note_answer(
+                context.route.name,
+                context.service,
+                now - began,
+                len(answer.body),
             )
             self._meter.note_answer(
-                job.route.name, target.upstream.name, now - began, load
+                context.route.name, target.upstream.name, now - began, load
             )
-            job.progress.outcome = Outcome.ANSWERED
-            job.progress.failure = Failure.NONE
-            job.answer = Answer(
+            context.progress.outcome = Outcome.ANSWERED
+            context.progress.failure = Failure.NONE
+            context.answer = Answer(
                 answer.status, drop_hop_headers(answer.headers), answer.body
             )
             return
         if failure is Failure.FOREIGN:
             self._deployment.directory.note_foreign(target.upstream.name, now)
         if failure in NOT_RUN_FAILURES:
-            job.progress.outcome = combine_outcomes(before, Outcome.NOT_RUN)
+            context.progress.outcome = combine_outcomes(
+                before, Outcome.NOT_RUN
+            )
         elif failure is Failure.FAILED:
-            job.answer = Answer(
+            context.answer = Answer(
                 answer.status, drop_hop_headers(answer.headers), answer.body
             )
         if failure is Failure.BUSY:
-            seconds = lane.health.estimate_seconds()
-            job.retry_after = retry_after_full_upstream(load, seconds)
-        self._note_failure(job, passage, failure, load)
+            seconds = channel.health.estimate_seconds()
+            context.retry_after = retry_after_full_upstream(load, seconds)
+        self._note_failure(context, permit, failure, load)
 
     def _read_load(
         self, target: Target, answer: Answer
@@ -235,8 +246,8 @@
         try:
             return self._dialect.read_load(answer.headers)
         except ValueError as error:
-            # The answer itself is whole; only windows and places go without
-            # what it would have told them.
+            # The answer itself is complete; only the window and the lender
+            # get no load figures from it.
             UNREADABLE_LOADS.labels(target.upstream.service).inc()
             log_event(
                 Event.LOAD_REFUSED,
@@ -245,7 +256,7 @@
             )
             return None
 
-    def _hear_pushback(
+    def _apply_pushback(
         self,
         target: Target,
         answer: Answer,
@@ -253,7 +264,7 @@
         began: float,
         now: float,
     ) -> StatedLimit | None:
-        """Take in what an answer asks; return what it says of a limit."""
+        """Apply the pushback of an answer; return the limit it states."""
         upstream = target.upstream
         pushback = self._dialect.read_pushback(answer.status, answer.headers)
         for problem in pushback.problems:
@@ -275,7 +286,7 @@
         if pushback.limit is not None:
             PUSHBACKS.labels(upstream.service, "limit").inc()
         elif failure is not Failure.NONE or pushback.problems:
-            # Only a whole answer that names none says that there is none.
+            # Only a complete answer without a limit means that there is none.
             return None
         said = StatedLimit(pushback.limit, began, now)
         before = limits.find(upstream.name)
@@ -286,7 +297,8 @@
                 upstream=upstream.registered_name,
                 limit=None if limit is None else limit.rate,
             )
-        # Nearly all answers name none, and a lender is often far away.
+        # Nearly all answers state no limit, and the lender is often in another
+        # data centre; it is told of "no limit" only if there was one before.
         return None if before is None and said.rate is None else said
 
     def _note_backoff(
@@ -301,33 +313,34 @@
 
     def _note_failure(
         self,
-        job: RequestContext,
-        passage: SendPermit,
+        context: RequestContext,
+        permit: SendPermit,
         failure: Failure,
         load: UpstreamLoad | None = None,
     ) -> None:
-        target, lane = passage.target, passage.lane
-        job.progress.failure = failure
-        job.failures.append(failure)
+        target, channel = permit.target, permit.channel
+        context.progress.failure = failure
+        context.failures.append(failure)
         if failure in (Failure.BUSY, Failure.BROKEN):
-            lane.window.note_refusal(load)
+            channel.window.note_refusal(load)
         if failure in NO_RESPONSE_FAILURES:
             self._partitions.note_unreached(target.upstream.data_centre)
         if failure is not Failure.NOT_OWNER:
             unreached = failure is Failure.UNREACHABLE
             weight = UNREACHED_WEIGHT if unreached else 1.0
-            lane.health.note_failure(read_clock(), weight)
+            channel.health.note_failure(read_clock(), weight)
         if failure in UPSTREAM_FAULTS:
             self._meter.note_failure(target.upstream.name)
 
 
-def _choose_rest(
-    job: RequestContext, lane: UpstreamChannel, now: float
+def _choose_max_idle(
+    context: RequestContext, channel: UpstreamChannel, now: float
 ) -> float:
-    """Return how long a connection may have rested for a request.
+    """Return the longest idle time of a connection used for a request.
 
-    One that may run again is sent again; the others have one chance.
+    An idempotent request is sent again after a reset. Any other request has
+    only one attempt, so it avoids connections that may have been closed.
     """
-    if job.route.idempotent:
+    if context.route.idempotent:
         return float("inf")
-    return lane.rests.find_max_idle(now)
+    return channel.idle_limit.find_max_idle(now)
--- a/sedgetide/daemons/_trials.py
+++ b/sedgetide/daemons/_trials.py
@@ -1,8 +1,9 @@
-"""Runs of requests under which upstreams have ended, one at a time.
+"""Trials: runs of suspect requests, one copy at a time across all hosts.
 
-The leader's host grants them for all. While nobody knows a leader, or it does
-not answer, such a request is refused: hosts that can't hear of each other's
-runs would each send a copy of it.
+A request is suspect when upstreams have ended while running it. The leader's
+host grants the trials for all hosts. While no leader is known, or it does not
+reply, suspects are refused: hosts that do not learn of each other's runs would
+each send a copy.
 """
 
 from collections.abc import Callable
@@ -32,104 +33,109 @@
 from sedgetide.runtime.events import Event
 from sedgetide.runtime.events import log_event
 
-# Seconds after which a caller does well to come again while nobody can be
-# asked: a lost leader has a successor within a few.
-_UNANSWERED = 1.0
-# Seconds for which a leader without a word is not asked. A killed one may be
-# back before it has a successor.
-_SILENT_FOR = 0.3
-_NUMBERS = 2**30
+# Retry-After in seconds while no leader replies. A lost leader is replaced
+# within a few seconds.
+_UNANSWERED_RETRY_DELAY = 1.0
+# Seconds for which a leader that did not reply is not asked again. A killed
+# host may be back before another one is elected.
+_SILENT_PERIOD = 0.3
+_MAX_FIRST_NUMBER = 2**30
 
 
 class Trial:
-    """Leave to send one request; needs none while nothing speaks against it.
+    """Permission to run one copy of a suspect request.
+
+    A request that is not suspect needs none.
 
     Parameters
     ----------
     trials : Trials
-        Asks for it.
-    job : RequestContext
+        Asks the leader for it.
+    context : RequestContext
         The request.
     """
 
-    def __init__(self, trials: "Trials", job: RequestContext) -> None:
+    def __init__(self, trials: "Trials", context: RequestContext) -> None:
         self._trials = trials
-        self._job = job
-        self._question: PendingVerdict | None = None
+        self._context = context
+        self._pending_verdict: PendingVerdict | None = None
         self._verdict: Verdict | None = None
         self._end = TrialEnd.NOT_RUN
 
     def ask(self) -> Verdict:
-        """Return whether the request may be sent; ask if that is open."""
+        """Return the verdict on the request; ask for it if necessary."""
         if self._verdict is not None:
             return self._verdict
-        if not self._trials.is_suspect(self._job):
+        if not self._trials.is_suspect(self._context):
             return Verdict.NEEDLESS
-        self._question = self._trials.ask(self._job)
-        found = None
-        if self._question is not None:
-            found = self._question.wait_first()
-            if found is None:
-                self._trials.note_silent(self._question.link)
-        if found is None:
-            self._job.retry_after = _UNANSWERED
-        self._note(found or Verdict.REFUSED)
+        self._pending_verdict = self._trials.ask(self._context)
+        verdict = None
+        if self._pending_verdict is not None:
+            verdict = self._pending_verdict.wait_first_verdict()
+            if verdict is None:
+                self._trials.note_silent(self._pending_verdict.link)
+        if verdict is None:
+            self._context.retry_after = _UNANSWERED_RETRY_DELAY
+        self._apply(verdict or Verdict.REFUSED)
         return self._verdict
 
     def wait(self) -> bool:
-        """Wait for a queued request's turn; return whether it came."""
-        patience = self._job.times.find_useful_time(read_clock())
-        self._note(self._question.wait_last(patience))
+        """Wait for the final verdict; return False when it is a refusal."""
+        seconds = self._context.times.find_useful_time(read_clock())
+        self._apply(self._pending_verdict.wait_final_verdict(seconds))
         return self._verdict is not Verdict.REFUSED
 
-    def _note(self, verdict: Verdict) -> None:
+    def _apply(self, verdict: Verdict) -> None:
         self._verdict = verdict
         if verdict is Verdict.REFUSED:
-            self._job.note = "on trial"
-            if self._question is not None and self._question.retry_after:
-                self._job.retry_after = self._question.retry_after
+            self._context.note = "on trial"
+            if (
+                self._pending_verdict is not None
+                and self._pending_verdict.retry_after
+            ):
+                self._context.retry_after = self._pending_verdict.retry_after
 
-    def begin(self) -> None:
-        """Take in that the request is about to be sent."""
+    def mark_sending(self) -> None:
+        """Record that the request is about to be sent."""
         self._end = TrialEnd.BROKEN
-        question = self._question
-        self._job.alone = question is not None and question.alone
+        pending = self._pending_verdict
+        self._context.alone = pending is not None and pending.alone
 
-    def withdraw(self) -> None:
-        """Take in that the request was not sent after all."""
+    def mark_not_sent(self) -> None:
+        """Record that the request was not sent after all."""
         self._end = TrialEnd.NOT_RUN
 
-    def note(self, failure: Failure) -> None:
-        """Take in what came back."""
+    def note_result(self, failure: Failure) -> None:
+        """Record the result of the run."""
         if failure is Failure.NONE:
             self._end = TrialEnd.WELL
         elif failure in NOT_RUN_FAILURES or failure is Failure.FAILED:
-            # After a failure of its own the upstream is still there.
+            # An upstream that reports a failure is still running.
             self._end = TrialEnd.NOT_RUN
 
-    def leave(self) -> None:
-        """Let the next copy run."""
-        question, self._question = self._question, None
-        if question is not None:
-            self._trials.close(self._job, question, self._end)
+    def release(self) -> None:
+        """End the trial, so that the next copy may run."""
+        pending, self._pending_verdict = self._pending_verdict, None
+        if pending is not None:
+            self._trials.close(self._context, pending, self._end)
 
 
 class Trials:
-    """One host's trials: it asks for them, and grants them if it leads.
+    """Asks for trials of a host's requests, and grants them as the leader.
 
     Parameters
     ----------
     link : LinkAddress
-        Own link address.
+        Link address of this host.
     quarantine : SharedQuarantine
-        Names the suspects.
+        Lists the suspects.
     find_leader_link : callable
-        Returns who is asked; None when unknown.
+        Returns the link address of the leader; None when unknown.
     send : callable
         Sends a message to a host.
-    source : random.Random
-        Where numbers begin: those of an earlier start of this host may
-        still be known to the leader.
+    rng : random.Random
+        Chooses the first message number, since the leader may still know
+        numbers from an earlier run of this host.
     """
 
     def __init__(
@@ -138,68 +144,71 @@
         quarantine: SharedQuarantine,
         find_leader_link: Callable[[], LinkAddress | None],
         send: Callable[[LinkAddress, Message], None],
-        source: random.Random,
+        rng: random.Random,
     ) -> None:
         self._link = link
         self._quarantine = quarantine
         self._find_leader_link = find_leader_link
         self._send = send
-        self._numbers = itertools.count(source.randrange(_NUMBERS))
+        self._numbers = itertools.count(rng.randrange(_MAX_FIRST_NUMBER))
         self._pending: dict[int, PendingVerdict] = {}
         self._silent_until: dict[LinkAddress, float] = {}
-        self._desk = TrialScheduler()
+        self._scheduler = TrialScheduler()
 
     @contextlib.contextmanager
-    def open(self, job: RequestContext) -> Iterator[Trial]:
-        """Own the trial of a request until it has been sent."""
-        trial = Trial(self, job)
+    def open(self, context: RequestContext) -> Iterator[Trial]:
+        """Return a context manager that ends the trial of a request."""
+        trial = Trial(self, context)
         try:
             yield trial
         finally:
-            trial.leave()
+            trial.release()
 
-    def is_suspect(self, job: RequestContext) -> bool:
-        """Tell whether a request may run on trial only."""
-        return self._quarantine.is_suspect(job)
+    def is_suspect(self, context: RequestContext) -> bool:
+        """Return whether a request may only run as a trial."""
+        return self._quarantine.is_suspect(context)
 
-    def ask(self, job: RequestContext) -> PendingVerdict | None:
-        """Ask for leave to run a request; None when nobody can be asked."""
+    def ask(self, context: RequestContext) -> PendingVerdict | None:
+        """Ask the leader for a trial; None when no leader can be asked."""
         link = self._find_leader_link()
         now = read_clock()
         if link is None or now < self._silent_until.get(link, now):
             return None
         number = next(self._numbers)
-        question = self._pending[number] = PendingVerdict(number, link)
-        left = round(max(0.0, job.times.final - now), 3)
-        fingerprint = job.find_fingerprint()
-        grave = self._quarantine.is_strong_suspect(fingerprint)
-        self._tell(
-            link, AskTrial(number, fingerprint, left, job.service, grave)
+        pending = self._pending[number] = PendingVerdict(number, link)
+        remaining = round(max(0.0, context.times.final - now), 3)
+        fingerprint = context.find_fingerprint()
+        strong = self._quarantine.is_strong_suspect(fingerprint)
+        self._deliver(
+            link,
+            AskTrial(number, fingerprint, remaining, context.service, strong),
         )
-        return question
+        return pending
 
     def note_silent(self, link: LinkAddress) -> None:
-        """Take in that a host said nothing in time."""
-        self._silent_until = {link: read_clock() + _SILENT_FOR}
+        """Record that a host did not reply in time."""
+        self._silent_until = {link: read_clock() + _SILENT_PERIOD}
 
     def close(
-        self, job: RequestContext, question: PendingVerdict, end: TrialEnd
+        self, context: RequestContext, pending: PendingVerdict, end: TrialEnd
     ) -> None:
-        """Tell what became of a run, also of one that was never granted."""
-        del self._pending[question.number]
-        verdict = question.verdict
+        """Report the end of a trial, also of one that was not granted."""
+        del self._pending[pending.number]
+        verdict = pending.verdict
         TRIALS.labels("silent" if verdict is None else verdict.value).inc()
         if verdict is Verdict.GRANTED and end is not TrialEnd.NOT_RUN:
             log_event(
                 Event.TRIAL,
-                id=job.fields.request,
-                fingerprint=job.find_fingerprint(),
+                id=context.fields.request,
+                fingerprint=context.find_fingerprint(),
                 end=end.value,
             )
         if verdict not in (Verdict.REFUSED, Verdict.NEEDLESS):
-            self._tell(question.link, EndTrial(question.number, end))
+            self._deliver(pending.link, EndTrial(pending.number, end))
 
-    def _tell(self, link: LinkAddress, message: AskTrial | EndTrial) -> None:
+    def _deliver(
+        self, link: LinkAddress, message: AskTrial | EndTrial
+    ) -> None:
         if link == self._link:
             self.take(message, link)
         else:
@@ -208,50 +217,50 @@
     def take(
         self, message: AskTrial | EndTrial | TrialVerdict, sender: LinkAddress
     ) -> None:
-        """Take in a message about a trial."""
+        """Handle a message about a trial."""
         now = read_clock()
         if isinstance(message, TrialVerdict):
-            question = self._pending.get(message.number)
-            if question is not None:
-                question.take(message.verdict, message.retry_after)
-                question.alone = message.alone
+            pending = self._pending.get(message.number)
+            if pending is not None:
+                pending.set_verdict(message.verdict, message.retry_after)
+                pending.alone = message.alone
             return
         ticket = Ticket(sender, message.number)
         if isinstance(message, AskTrial):
-            decisions = self._desk.ask(
+            decisions = self._scheduler.ask(
                 ticket,
                 message.fingerprint,
                 message.left,
                 now,
-                self._find_alone(message),
+                self._find_exclusive_service(message),
             )
         else:
             if message.end is TrialEnd.WELL:
-                fingerprint = self._desk.find_fingerprint(ticket)
+                fingerprint = self._scheduler.find_fingerprint(ticket)
                 if fingerprint is not None:
                     self._quarantine.clear(fingerprint, now)
-            decisions = self._desk.end(ticket, message.end, now)
-        self._announce(decisions)
+            decisions = self._scheduler.end(ticket, message.end, now)
+        self._deliver_decisions(decisions)
 
-    def _find_alone(self, message: AskTrial) -> ServiceName | None:
-        """Return where a request has to run without other grave suspects."""
-        # Either of the two hosts may know of a loss more.
-        grave = self._quarantine.is_strong_suspect(message.fingerprint)
-        return message.service if message.grave or grave else None
+    def _find_exclusive_service(self, message: AskTrial) -> ServiceName | None:
+        """Return the service in which no other strong suspect may run."""
+        # Either host may know of a loss that the other has not heard of.
+        strong = self._quarantine.is_strong_suspect(message.fingerprint)
+        return message.service if message.grave or strong else None
 
     def run_periodic(self, now: float) -> None:
-        """End the runs of hosts that were lost."""
-        self._announce(self._desk.expire(now))
+        """End the trials of lost hosts."""
+        self._deliver_decisions(self._scheduler.expire(now))
 
-    def _announce(self, decisions: list[TrialDecision]) -> None:
+    def _deliver_decisions(self, decisions: list[TrialDecision]) -> None:
         for each in decisions:
-            word = TrialVerdict(
+            reply = TrialVerdict(
                 each.ticket.number,
                 each.verdict,
                 each.retry_after,
                 each.alone,
             )
             if each.ticket.holder == self._link:
-                self.take(word, self._link)
+                self.take(reply, self._link)
             else:
-                self._send(each.ticket.holder, word)
+                self._send(each.ticket.holder, reply)
--- a/sedgetide/daemons/_upstreamchannels.py
+++ b/sedgetide/daemons/_upstreamchannels.py
@@ -1,4 +1,4 @@
-"""Ways to upstreams: connections, a window, and those who wait for it."""
+"""Channels to upstreams: connections, a window, and a queue of requests."""
 
 import gevent
 from gevent.event import Event
@@ -12,32 +12,33 @@
 from sedgetide.runtime.clock import read_clock
 from sedgetide.wire.client import ConnectionPool
 
-# A full upstream's reset arrives within 1.5 ms; twice that is waited for.
-_SETTLING = 0.003
+# Seconds to wait for the reset of a full upstream. It arrives within 1.5 ms;
+# this is twice that.
+_RESET_WAIT = 0.003
 
 
 class UpstreamChannel:
-    """Way from this host to one upstream.
+    """Connections, window and health of one upstream, as seen by this host.
 
     Parameters
     ----------
     upstream : RegisteredUpstream
-        Where it leads.
+        The upstream.
     body_limit : int
         Largest body accepted in an answer.
-    rests : IdleLimit
-        How long its connections may rest; of all upstreams of the service,
-        since one alone is sent too little to learn it from.
+    idle_limit : IdleLimit
+        How long connections may stay idle. Shared by all upstreams of a
+        service, since a single one gets too few requests to learn it from.
     """
 
     def __init__(
         self,
         upstream: RegisteredUpstream,
         body_limit: int,
-        rests: IdleLimit,
+        idle_limit: IdleLimit,
     ) -> None:
-        self.pool = ConnectionPool(upstream.address, body_limit, _SETTLING)
-        self.rests = rests
+        self.pool = ConnectionPool(upstream.address, body_limit, _RESET_WAIT)
+        self.idle_limit = idle_limit
         self.window = Window(upstream.slots)
         self.health = UpstreamHealth()
         self._queue: WindowQueue[Event] = WindowQueue(self.window, self.health)
@@ -45,64 +46,77 @@
 
     @property
     def queue_length(self) -> int:
-        """Number of requests that wait for the window."""
+        """Number of requests that wait for the window to open."""
         return len(self._queue)
 
-    def enter(self, priority: int, wait: float) -> bool:
-        """Wait for a place in the window; return whether one was got."""
+    def acquire(self, priority: int, wait: float) -> bool:
+        """Wait until the window admits a request; return whether it did.
+
+        Parameters
+        ----------
+        priority : int
+            Lower is more urgent.
+        wait : float
+            Seconds for which it may wait. A request that is expected to wait
+            longer is refused at once.
+        """
         now = read_clock()
         if self._queue.try_enter(now):
             return True
         if self._queue.is_wait_too_long(priority, wait, now):
             return False
-        turn = Event()
-        self._queue.push(turn, priority)
+        waiter = Event()
+        self._queue.push(waiter, priority)
         self.admit()
         admitted = False
         try:
-            turn.wait(wait)
-            admitted = turn.is_set()
+            waiter.wait(wait)
+            admitted = waiter.is_set()
             return admitted
         finally:
             if not admitted:
-                self._withdraw(turn)
+                self._cancel_wait(waiter)
+
+    def force_acquire(self) -> None:
+        """Count a request as in flight whatever the window allows.
 
-    def occupy(self) -> None:
-        """Take a place whatever the window says: a lender has granted it."""
+        Used for requests with a place granted by the lender.
+        """
         self.window.in_flight += 1
 
     def estimate_wait(self, priority: int) -> float:
-        """Return after how long a request might get a place, at best."""
+        """Return the shortest expected wait of a new request, in seconds."""
         return self._queue.estimate_wait(priority, read_clock())
 
-    def _withdraw(self, turn: Event) -> None:
-        """Give up a wait, or the place that it has just got.
+    def _cancel_wait(self, waiter: Event) -> None:
+        """Remove a waiter from the queue, or release its slot if admitted.
 
-        A caller may leave in the very turn in which its request is let in;
-        without this its place would be lost for good.
+        A caller may disconnect in the same loop iteration in which its
+        request is admitted; without the release the window would lose that
+        slot for good.
         """
-        if not self._queue.remove(turn):
-            self.leave()
+        if not self._queue.remove(waiter):
+            self.release()
 
-    def leave(self) -> None:
-        """Give the place to whoever is next."""
+    def release(self) -> None:
+        """End a request in flight and admit waiting ones."""
         self._queue.note_end(read_clock())
         self.admit()
 
     def admit(self) -> None:
-        """Let in as many as the window holds, the most urgent first."""
+        """Admit as many requests as the window allows, most urgent first."""
         now = read_clock()
-        for turn in self._queue.take(now):
-            turn.set()
+        for waiter in self._queue.take(now):
+            waiter.set()
         opening = self._queue.find_opening(now)
         if opening is not None and opening > now:
-            self._admit_at(opening, now)
+            self._schedule_admit(opening, now)
 
-    def _admit_at(self, opening: float, now: float) -> None:
+    def _schedule_admit(self, opening: float, now: float) -> None:
         if self._timer is None or self._timer.ready():
-            self._timer = gevent.spawn_later(opening - now, self._on_time)
+            self._timer = gevent.spawn_later(opening - now, self._on_timer)
 
-    def _on_time(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
         self.admit()
 
@@ -112,7 +126,7 @@
 
 
 class UpstreamChannels:
-    """All ways of a host, opened when first used.
+    """Channels to all upstreams of a host, opened on first use.
 
     Parameters
     ----------
@@ -122,28 +136,36 @@
 
     def __init__(self, body_limit: int) -> None:
         self._body_limit = body_limit
-        self._lanes: dict[str, UpstreamChannel] = {}
-        self._rests: dict[ServiceName, IdleLimit] = {}
+        self._channels: dict[str, UpstreamChannel] = {}
+        self._idle_limits: dict[ServiceName, IdleLimit] = {}
 
     def find(self, upstream: RegisteredUpstream) -> UpstreamChannel:
-        """Return the way to an upstream."""
-        lane = self._lanes.get(upstream.name)
-        if lane is None:
-            rests = self._rests.setdefault(upstream.service, IdleLimit())
-            lane = UpstreamChannel(upstream, self._body_limit, rests)
-            self._lanes[upstream.name] = lane
-        return lane
+        """Return the channel to an upstream."""
+        channel = self._channels.get(upstream.name)
+        if channel is None:
+            idle_limit = self._idle_limits.setdefault(
+                upstream.service, IdleLimit()
+            )
+            channel = UpstreamChannel(upstream, self._body_limit, idle_limit)
+            self._channels[upstream.name] = channel
+        return channel
 
     def prune(self, known: set[str]) -> None:
-        """Close the ways to upstreams that are gone."""
-        for name in list(self._lanes):
-            lane = self._lanes[name]
-            if name not in known and not lane.window.in_flight:
-                self._lanes.pop(name).close()
+        """Close unused channels to unregistered upstreams, and prune others.
+
+        Parameters
+        ----------
+        known : set of str
+            Names of the registered upstreams.
+        """
+        for name in list(self._channels):
+            channel = self._channels[name]
+            if name not in known and not channel.window.in_flight:
+                self._channels.pop(name).close()
             else:
-                lane.pool.prune()
+                channel.pool.prune()
 
     def close(self) -> None:
         """Close all idle connections."""
-        for lane in self._lanes.values():
-            lane.close()
+        for channel in self._channels.values():
+            channel.close()
--- a/sedgetide/daemons/_upstreamselector.py
+++ b/sedgetide/daemons/_upstreamselector.py
@@ -1,4 +1,4 @@
-"""Where a request goes, and leave to send it there."""
+"""Selects the upstream of a request and acquires permission to send to it."""
 
 from collections.abc import Collection
 import random
@@ -34,277 +34,311 @@
 from sedgetide.daemons._upstreamchannels import UpstreamChannels
 from sedgetide.runtime.clock import read_clock
 
-# Seconds for which a retry may wait, whatever its request has waited before.
-_RETRY_HOLD = 0.1
-# Seconds; a lost lender of places at a bounded upstream is replaced by then.
-_UNLENT = 1.0
-# Seconds without a word of the store; a watch that finds nothing is answered
+# Seconds for which a retry may wait, however long the request has waited
+# before.
+_RETRY_WAIT = 0.1
+# Seconds; by then the lost lender of a rate-limited or cold upstream has been
+# replaced.
+_NO_LENDER_RETRY_DELAY = 1.0
+# Seconds without an answer of the store; a watch without changes is answered
 # sooner.
-_SILENT_STORE = 3.0
+_MAX_STORE_SILENCE = 3.0
 
 
 class SendPermit(msgspec.Struct):
-    """Leave to send one request to an upstream."""
+    """Permission to send one request to an upstream.
+
+    Parameters
+    ----------
+    target : Target
+        Upstream, and the fence under which it owns the key.
+    channel : UpstreamChannel
+        Channel to the upstream, with one request counted as in flight.
+    place : Place or None
+        Place that the lender granted; None when the host's own window
+        admitted the request.
+    """
 
     target: Target
-    lane: UpstreamChannel
+    channel: UpstreamChannel
     place: Place | None
 
-    def leave(self) -> None:
-        self.lane.leave()
+    def release(self) -> None:
+        self.channel.release()
         if self.place is not None:
-            self.place.leave()
+            self.place.release()
 
 
 class UpstreamSelector:
-    """Finds a target with a place for each request.
+    """Selects an upstream for each request and waits until it has room.
 
     Parameters
     ----------
-    knowledge : DeploymentState
-        What is known of the deployment.
-    lanes : UpstreamChannels
-        Ways to upstreams.
+    deployment : DeploymentState
+        State of the deployment as this host knows it.
+    channels : UpstreamChannels
+        Connections and windows of all upstreams.
     places : Places
-        Places at upstreams, where hosts lend them.
-    usual : AnswerAverages
-        What requests usually take.
+        Acquires places from the lenders of upstreams.
+    answer_averages : AnswerAverages
+        Average service times and answer sizes.
     data_centre : str
-        Own data centre.
-    source : random.Random
-        Blurs choices, on each host in its own way.
+        Data centre of this host.
+    rng : random.Random
+        Randomizes the choice of upstreams; seeded differently on each host.
     """
 
     def __init__(
         self,
         deployment: DeploymentState,
-        lanes: UpstreamChannels,
+        channels: UpstreamChannels,
         places: Places,
-        usual: AnswerAverages,
+        answer_averages: AnswerAverages,
         data_centre: str,
-        source: random.Random,
+        rng: random.Random,
     ) -> None:
         self._deployment = deployment
-        self._lanes = lanes
+        self._channels = channels
         self._places = places
-        self._usual = usual
+        self._averages = answer_averages
         self._data_centre = data_centre
-        self._random = source
+        self._rng = rng
 
-    def find(self, job: RequestContext) -> SendPermit | None:
-        """Return a target with a place there; None to give up."""
-        limit = job.times.find_hold_deadline()
-        if job.progress.sends:
-            limit = max(limit, read_clock() + _RETRY_HOLD)
+    def acquire(self, context: RequestContext) -> SendPermit | None:
+        """Return a permit for a request; None when it can not be sent."""
+        hold_deadline = context.times.find_hold_deadline()
+        if context.progress.sends:
+            hold_deadline = max(hold_deadline, read_clock() + _RETRY_WAIT)
         declined: set[IncarnationName] = set()
         while True:
             now = read_clock()
-            target = self._find_target(job, declined, now)
+            target = self._find_target(context, declined, now)
             if isinstance(target, Target):
-                passage = self._enter(job, target, limit)
-                if isinstance(passage, PlaceRefused):
-                    if job.keyed:
+                permit = self._acquire_permit(context, target, hold_deadline)
+                if isinstance(permit, PlaceRefused):
+                    if context.keyed:
                         return None
-                    # Another that does the same work may bear it.
+                    # Another upstream of the service may have room.
                     declined.add(target.upstream.name)
                     continue
-                if passage is None or self.may_send(job, passage):
-                    return passage
-                passage.leave()
+                if permit is None or self.may_send(context, permit):
+                    return permit
+                permit.release()
                 continue
             if declined:
-                # All are bounded, and have been sent what they bear.
+                # All remaining upstreams are at their limit.
                 return None
-            job.note = target.value
-            if now >= limit or self._is_hopeless(target, now):
-                job.retry_after = self._foresee(job, target, now)
+            context.note = target.value
+            if now >= hold_deadline or self._is_wait_futile(target, now):
+                context.retry_after = self._estimate_retry_after(
+                    context, target, now
+                )
                 return None
-            self._deployment.changes.wait(limit - now)
+            self._deployment.changes.wait(hold_deadline - now)
 
-    def _enter(
-        self, job: RequestContext, target: Target, limit: float
+    def _acquire_permit(
+        self, context: RequestContext, target: Target, hold_deadline: float
     ) -> SendPermit | PlaceRefused | None:
-        """Wait for a place at an upstream; None when none came in time.
+        """Wait for permission to send; None when there is no room in time.
 
-        Only one upstream may run a request with a key, so the queue there
-        is the only one that counts; among equal ones each host's own
-        windows find one with room, unless what it bears is bounded.
+        Only the owner may run a request with a key, so all hosts share the
+        queue that its lender keeps. Requests without a key may go to any
+        upstream of the service, for which the host's own window suffices
+        unless the upstream is cold or states a limit.
         """
-        lane = self._lanes.find(target.upstream)
-        bound = self._deployment.find_cold_bound(target.upstream, read_clock())
-        stated = self._deployment.limits.find(target.upstream.name)
-        bounded = bound is not None or stated is not None
-        if job.keyed or bounded:
-            place = self._ask_place(job, target, bound, stated)
+        channel = self._channels.find(target.upstream)
+        cold_bound = self._deployment.find_cold_bound(
+            target.upstream, read_clock()
+        )
+        stated_limit = self._deployment.limits.find(target.upstream.name)
+        bounded = cold_bound is not None or stated_limit is not None
+        if context.keyed or bounded:
+            place = self._ask_place(context, target, cold_bound, stated_limit)
             if place is None and bounded:
-                place = PlaceRefused(_UNLENT)
+                place = PlaceRefused(_NO_LENDER_RETRY_DELAY)
             if isinstance(place, PlaceRefused):
-                _note_refusal(job, place.retry_after, bound, stated)
+                _note_refusal(
+                    context, place.retry_after, cold_bound, stated_limit
+                )
                 return place
             if place is not None:
-                lane.occupy()
-                return SendPermit(target, lane, place)
-        priority = job.route.priority
-        wait = min(limit, job.times.final) - read_clock()
-        if lane.enter(priority, wait):
-            return SendPermit(target, lane, None)
-        job.note = "window"
-        job.retry_after = retry_after_queue(lane.estimate_wait(priority))
+                channel.force_acquire()
+                return SendPermit(target, channel, place)
+        priority = context.route.priority
+        wait = min(hold_deadline, context.times.final) - read_clock()
+        if channel.acquire(priority, wait):
+            return SendPermit(target, channel, None)
+        context.note = "window"
+        context.retry_after = retry_after_queue(
+            channel.estimate_wait(priority)
+        )
         return None
 
     def _ask_place(
         self,
-        job: RequestContext,
+        context: RequestContext,
         target: Target,
-        bound: int | None,
-        stated: StatedLimit | None,
+        cold_bound: int | None,
+        stated_limit: StatedLimit | None,
     ) -> Place | PlaceRefused | None:
-        if not job.keyed:
-            # Of equal upstreams another serves it sooner than a wait.
-            return self._places.enter(
-                target.upstream, job.route.priority, 0.0, bound, stated
+        if not context.keyed:
+            # Another upstream of the service answers sooner than a wait here.
+            return self._places.acquire(
+                target.upstream,
+                context.route.priority,
+                0.0,
+                cold_bound,
+                stated_limit,
             )
         now = read_clock()
-        left = job.times.find_useful_time(now)
-        if job.progress.outcome is Outcome.UNKNOWN:
-            # It may have run, and only an answer can tell: worth the wait.
-            left = job.times.final - now
-        rank = rank_request(job.route.priority, job.overdue)
-        return self._places.enter(target.upstream, rank, left, bound, stated)
+        left = context.times.find_useful_time(now)
+        if context.progress.outcome is Outcome.UNKNOWN:
+            # The request may have run and only an answer can tell, so it waits
+            # until its final deadline.
+            left = context.times.final - now
+        rank = rank_request(context.route.priority, context.overdue)
+        return self._places.acquire(
+            target.upstream, rank, left, cold_bound, stated_limit
+        )
 
-    def _is_hopeless(self, wait: Wait, now: float) -> bool:
-        """Tell whether waiting here can't bring a target."""
+    def _is_wait_futile(self, wait: Wait, now: float) -> bool:
+        """Return whether waiting in this state can not yield a target."""
         if wait is Wait.OWNER_GONE:
-            # Nobody can give its keys to another, or tell this host.
-            return self._is_out_of_touch(now)
+            # While the store is silent the keys can not be reassigned, or
+            # this host would not learn of it.
+            return self._is_store_silent(now)
         return wait is Wait.BACKING_OFF
 
-    def _is_out_of_touch(self, now: float) -> bool:
-        return now - self._deployment.heard_at > _SILENT_STORE
+    def _is_store_silent(self, now: float) -> bool:
+        return now - self._deployment.heard_at > _MAX_STORE_SILENCE
 
-    def _foresee(self, job: RequestContext, wait: Wait, now: float) -> float:
-        """Return when a request that can't be sent anywhere may be."""
+    def _estimate_retry_after(
+        self, context: RequestContext, wait: Wait, now: float
+    ) -> float:
+        """Return the Retry-After in seconds of a request without a target."""
         if wait is Wait.BACKING_OFF:
-            return retry_after_backoff(self.find_backoff(job, now))
-        if wait is Wait.OWNER_GONE and self._is_out_of_touch(now):
+            return retry_after_backoff(self.find_backoff(context, now))
+        if wait is Wait.OWNER_GONE and self._is_store_silent(now):
             return STORE_SILENT_RETRY_DELAY
         if wait is not Wait.MOVING:
             return STARTUP_RETRY_DELAY
         moving = self._deployment.find_move_age(
-            job.service, job.fields.key, now
+            context.service, context.fields.key, now
         )
         return retry_after_move(moving)
 
-    def find_backoff(self, job: RequestContext, now: float) -> float:
-        """Return for how long all that may run a request want nothing.
+    def find_backoff(self, context: RequestContext, now: float) -> float:
+        """Return for how long all eligible upstreams ask for backoff.
 
         Returns
         -------
         float
-            Seconds; zero when any of them wants none.
+            Seconds; zero when at least one of them asks for none.
         """
         directory = self._deployment.directory
         backoffs = self._deployment.backoffs
-        if not job.keyed:
-            active = directory.list_active(job.service)
+        if not context.keyed:
+            active = directory.list_active(context.service)
             return backoffs.find_shortest([each.name for each in active], now)
-        table = self._deployment.find_table(job.service)
-        owner = find_owner(table, job.fields.key, directory, now)
+        table = self._deployment.find_table(context.service)
+        owner = find_owner(table, context.fields.key, directory, now)
         if isinstance(owner, Wait):
             return 0.0
         return backoffs.find_remaining(owner.upstream.name, now)
 
-    def may_send(self, job: RequestContext, passage: SendPermit) -> bool:
-        """Tell whether a passage may be used at this moment.
+    def may_send(self, context: RequestContext, permit: SendPermit) -> bool:
+        """Return whether a permit may still be used.
 
-        A limit may have been named while the request waited for this host's
-        window, which knows nothing of what others send; a backoff while it
-        waited for a place or a connection.
+        While the request waited for this host's window, which does not count
+        the requests of other hosts, the upstream may have stated a limit;
+        while it waited for a place or a connection, it may have asked for
+        backoff.
         """
-        upstream = passage.target.upstream.name
+        upstream = permit.target.upstream.name
         if (
             self._deployment.backoffs.find_remaining(upstream, read_clock())
             > 0.0
         ):
             return False
-        if passage.place is None and self._deployment.limits.find(upstream):
+        if permit.place is None and self._deployment.limits.find(upstream):
             return False
-        return self._still_holds(job, passage.target)
+        return self._is_still_valid(context, permit.target)
 
-    def _still_holds(self, job: RequestContext, target: Target) -> bool:
-        """Tell whether a target is still right after waiting for it."""
+    def _is_still_valid(self, context: RequestContext, target: Target) -> bool:
+        """Return whether a target is still valid after the wait for it."""
         directory = self._deployment.directory
-        if not job.keyed:
+        if not context.keyed:
             return directory.find_active(target.upstream.name) is not None
-        table = self._deployment.find_table(job.service)
+        table = self._deployment.find_table(context.service)
         now = read_clock()
-        return find_owner(table, job.fields.key, directory, now) == target
+        return find_owner(table, context.fields.key, directory, now) == target
 
     def _find_target(
         self,
-        job: RequestContext,
+        context: RequestContext,
         declined: Collection[IncarnationName],
         now: float,
     ) -> Target | Wait:
         directory = self._deployment.directory
-        if job.keyed:
-            if self.find_backoff(job, now) > 0.0:
+        if context.keyed:
+            if self.find_backoff(context, now) > 0.0:
                 return Wait.BACKING_OFF
-            table = self._deployment.find_table(job.service)
-            return find_owner(table, job.fields.key, directory, now)
+            table = self._deployment.find_table(context.service)
+            return find_owner(table, context.fields.key, directory, now)
         avoided = self._deployment.backoffs.list_active(now)
         candidates = list_candidates(
             directory,
-            job.service,
-            job.progress.tried,
+            context.service,
+            context.progress.tried,
             now,
             avoided.union(declined),
         )
         if not candidates:
-            if not declined and self.find_backoff(job, now) > 0.0:
+            if not declined and self.find_backoff(context, now) > 0.0:
                 return Wait.BACKING_OFF
             return Wait.NO_UPSTREAM
-        size = len(job.request.body) + self._usual.find_answer_size(
-            job.route.name
+        size = len(context.request.body) + self._averages.find_answer_size(
+            context.route.name
         )
         crossing = compute_crossing_cost(
-            size, job.times.objective - job.times.began
+            size, context.times.objective - context.times.began
         )
-        seen = [
-            self._describe(upstream, crossing, now) for upstream in candidates
+        described = [
+            self._make_candidate(upstream, crossing, now)
+            for upstream in candidates
         ]
-        return Target(choose_upstream(seen, self._random))
+        return Target(choose_upstream(described, self._rng))
 
-    def _describe(
+    def _make_candidate(
         self, upstream: RegisteredUpstream, crossing: float, now: float
     ) -> Candidate:
-        lane = self._lanes.find(upstream)
-        usual = self._usual.find_service_time(upstream.service)
+        channel = self._channels.find(upstream)
+        average = self._averages.find_service_time(upstream.service)
         near = upstream.data_centre == self._data_centre
         cold = self._deployment.find_cold_rate(upstream, now) is not None
         limited = self._deployment.limits.find(upstream.name) is not None
         return Candidate(
             upstream,
-            lane.health.service_time or usual,
-            lane.window.estimate_queue(now) + lane.queue_length,
+            channel.health.service_time or average,
+            channel.window.estimate_queue(now) + channel.queue_length,
             near,
-            lane.pool.has_idle,
-            lane.health.is_suspect(now),
+            channel.pool.has_idle,
+            channel.health.is_suspect(now),
             0.0 if near else crossing,
             cold or limited,
         )
 
 
 def _note_refusal(
-    job: RequestContext,
+    context: RequestContext,
     seconds: float,
-    bound: int | None,
-    stated: StatedLimit | None,
+    cold_bound: int | None,
+    stated_limit: StatedLimit | None,
 ) -> None:
-    """Note why a lender has refused a request, and when to come again."""
-    if stated is not None:
-        job.note = "limited"
-        job.retry_after = retry_after_limit(seconds)
+    """Record why the lender refused a request, and its Retry-After."""
+    if stated_limit is not None:
+        context.note = "limited"
+        context.retry_after = retry_after_limit(seconds)
         return
-    job.note = "no place" if bound is None else "cold"
-    job.retry_after = retry_after_place(seconds)
+    context.note = "no place" if cold_bound is None else "cold"
+    context.retry_after = retry_after_place(seconds)
--- a/tests/daemons/test_crashdetector.py
+++ b/tests/daemons/test_crashdetector.py
@@ -1,4 +1,4 @@
-"""Tests of telling a crash from a full upstream, by real sockets."""
+"""Tests of distinguishing a crash from a full upstream, with real sockets."""
 
 import struct
 
@@ -25,7 +25,7 @@
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
-def make_job(number=1):
+def make_context(number=1):
     return RequestContext(
         Request("GET", "/x", [("Host", "h")], b"", "100.64.0.9"),
         CallerFields(RequestId(f"r{number}"), 1.0, None),
@@ -37,7 +37,7 @@
     )
 
 
-class TestBreakWatch(testtools.TestCase):
+class TestCrashDetector(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.directory = UpstreamDirectory()
@@ -74,15 +74,15 @@
 
     def test_process_that_has_ended(self):
         upstream = self.put(f"127.0.0.1:{find_port()}")
-        self.watch.note_broken(make_job(), upstream)
+        self.watch.note_broken(make_context(), upstream)
         self.assertEqual(LossProof.REFUSED, self.ended[0].proof)
         self.assertEqual(["r1"], [run.request for run in self.ended[0].runs])
 
     def test_full_upstream_that_resets_new_connections(self):
-        """It resets a request, and each connection that comes after it.
+        """A full upstream resets a request and each new connection.
 
-        It lives and serves others: taken for a crash, each shortage would
-        be blamed on whoever asked in it.
+        It is still running and serves other requests. If this were taken for
+        a crash, the requests sent during an overload would become suspects.
         """
 
         def reset(connection):
@@ -92,7 +92,7 @@
             connection.close()
 
         upstream = self.serve(reset)
-        self.watch.note_broken(make_job(), upstream)
+        self.watch.note_broken(make_context(), upstream)
         gevent.sleep(0.05)
         self.watch.run_periodic(read_clock())
         self.assertEqual([], self.ended)
@@ -100,18 +100,18 @@
     def test_full_upstream_is_not_asked_for_each_request(self):
         upstream = self.serve(lambda connection: connection.close())
         for number in range(50):
-            self.watch.note_broken(make_job(number), upstream)
+            self.watch.note_broken(make_context(number), upstream)
         gevent.sleep(0.01)
         self.assertEqual(1, self.accepted)
 
     def test_announced_end_is_no_crash(self):
         upstream = self.put(f"127.0.0.1:{find_port()}", leaving=True)
-        self.watch.note_broken(make_job(), upstream)
+        self.watch.note_broken(make_context(), upstream)
         self.assertEqual([], self.ended)
 
     def test_entry_that_disappears_tells_it_later(self):
         upstream = self.serve(lambda connection: None)
-        self.watch.note_broken(make_job(), upstream)
+        self.watch.note_broken(make_context(), upstream)
         self.directory.remove(upstream.registered_name, read_clock())
         self.watch.run_periodic(read_clock())
         self.assertEqual(LossProof.WITHDRAWN, self.ended[0].proof)
--- a/tests/daemons/test_places.py
+++ b/tests/daemons/test_places.py
@@ -1,4 +1,4 @@
-"""Tests of asking for places, between two hosts without sockets."""
+"""Tests of acquiring places, between two hosts without sockets."""
 
 import random
 
@@ -48,64 +48,64 @@
 
         return Places(link, deployment, send, random.Random(1))
 
-    def enter(self, link=ASKER, left=0.5, priority=2):
-        return self.hosts[link].enter(UPSTREAM, priority, left)
+    def acquire(self, link=ASKER, left=0.5, priority=2):
+        return self.hosts[link].acquire(UPSTREAM, priority, left)
 
     def fill(self):
-        places = [self.enter(), self.enter(), self.enter(LENDER)]
+        places = [self.acquire(), self.acquire(), self.acquire(LENDER)]
         for each in places:
             self.assertIsInstance(each, Place)
         return places
 
     def test_place_given_back_goes_to_who_waits(self):
         first, second, _ = self.fill()
-        waiting = gevent.spawn(self.enter)
+        waiting = gevent.spawn(self.acquire)
         gevent.sleep(0.01)
         self.assertFalse(waiting.ready())
         second.note_answer(0.2, 0)
-        second.leave()
+        second.release()
         self.assertIsInstance(waiting.get(timeout=1), Place)
 
     def test_no_time_to_wait_is_refused_at_once(self):
         self.fill()
         began = gevent.get_hub().loop.now()
-        refused = self.enter(left=0.1)
+        refused = self.acquire(left=0.1)
         self.assertIsInstance(refused, PlaceRefused)
         self.assertGreater(refused.retry_after, 0)
         self.assertLess(gevent.get_hub().loop.now() - began, 0.05)
 
     def test_lost_lender_leaves_the_upstream_reachable(self):
-        """A lost lender costs one wait.
+        """A lost lender delays one request only.
 
-        The lender is killed. The first request hears nothing, goes by
-        its host's own window, and so do the next ones at once, since no
-        caller may wait for a word that does not come.
+        The lender is killed. The first request gets no reply and falls back
+        to its host's own window; the next ones do so at once, without
+        waiting for a reply.
         """
         self.lost = True
-        self.assertIsNone(self.enter())
+        self.assertIsNone(self.acquire())
         asked = len(self.sent)
-        self.assertIsNone(self.enter())
+        self.assertIsNone(self.acquire())
         self.assertEqual(asked, len(self.sent))
 
     def test_caller_who_leaves_is_taken_out_of_the_queue(self):
-        """The turn of a caller who left goes on to the next.
+        """The place of a caller that left goes to the next request.
 
-        A caller closes its connection while its request waits. Without
-        a word to the lender its turn would come, and the place would stay
-        lost until the loan ends.
+        A caller closes its connection while its request is queued. If the
+        lender were not told, it would grant a place that nobody uses until
+        the lease expires.
         """
         first, _, _ = self.fill()
-        leaver = gevent.spawn(self.enter)
+        leaver = gevent.spawn(self.acquire)
         gevent.sleep(0.01)
         leaver.kill()
-        stayer = gevent.spawn(self.enter)
+        stayer = gevent.spawn(self.acquire)
         gevent.sleep(0.01)
-        first.leave()
+        first.release()
         self.assertIsInstance(stayer.get(timeout=1), Place)
 
-    def test_late_word_gives_the_place_back(self):
+    def test_late_verdict_releases_the_place(self):
         self.lost = True
-        self.enter()
+        self.acquire()
         question, end = self.sent
         self.assertIsInstance(question, AskPlace)
         self.assertIsInstance(end, EndPlace)
--- a/tests/daemons/test_quarantine.py
+++ b/tests/daemons/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Tests of how hosts tell each other of deadly requests."""
+"""Tests of how hosts exchange the quarantine of deadly requests."""
 
 import testtools
 
@@ -16,11 +16,11 @@
 from sedgetide.daemons._quarantine import SharedQuarantine
 
 DEADLY = Fingerprint("deadly")
-_REPORT_EVERY = 0.4
+_REPORT_INTERVAL = 0.4
 
 
 class Host:
-    """One host's quarantine on links that the test delivers."""
+    """Quarantine of one host; the test delivers its messages."""
 
     def __init__(self, net, number):
         self.link = LinkAddress(f"10.0.0.{number}:1")
@@ -41,12 +41,12 @@
             EndedUpstream(IncarnationName(name), LossProof.REFUSED, runs), at
         )
 
-    def knows(self, now):
+    def is_quarantined(self, now):
         return self.quarantine.find_stay_left(DEADLY, now) > 0.0
 
 
-class Net:
-    """Hosts, and the messages between them."""
+class Network:
+    """Network of hosts, and the messages between them."""
 
     def __init__(self, count):
         self.waiting = []
@@ -71,7 +71,7 @@
                 host.shared.take(message, LinkAddress(envelope.sender), now)
 
     def report(self, now):
-        """Let all hosts report to their leader once."""
+        """Send one report of each host to its leader."""
         for host in self.hosts:
             leader = next(
                 each for each in self.hosts if each.link == host.leader
@@ -86,38 +86,38 @@
 class TestSharedQuarantine(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.net = Net(5)
+        self.net = Network(5)
         self.net.report(0.0)
 
     def lose_three(self):
-        """Let three hosts see one loss each."""
+        """Report one loss on each of three hosts."""
         for number, at in ((1, 1.0), (2, 5.0), (3, 9.0)):
             self.net.hosts[number].lose(f"u{number}", at)
             self.net.deliver(at)
 
     def test_quiet_while_nothing_happens(self):
         for turn in range(20):
-            self.net.report(turn * _REPORT_EVERY)
+            self.net.report(turn * _REPORT_INTERVAL)
         self.assertEqual(0, self.net.delivered)
 
     def test_all_know_at_once(self):
         self.lose_three()
         self.assertEqual(
-            [True] * 5, [host.knows(9.0) for host in self.net.hosts]
+            [True] * 5, [host.is_quarantined(9.0) for host in self.net.hosts]
         )
 
     def test_host_that_missed_the_message(self):
-        """The link of one host was cut when the third loss was seen."""
+        """One host was disconnected when the third loss was reported."""
         missing = self.net.hosts[4]
         self.net.cut = {missing.link}
         self.lose_three()
-        self.assertFalse(missing.knows(9.0))
+        self.assertFalse(missing.is_quarantined(9.0))
         self.net.cut = set()
-        self.net.report(9.0 + _REPORT_EVERY)
-        self.assertTrue(missing.knows(9.0 + _REPORT_EVERY))
+        self.net.report(9.0 + _REPORT_INTERVAL)
+        self.assertTrue(missing.is_quarantined(9.0 + _REPORT_INTERVAL))
 
-    def test_what_was_seen_behind_a_cut(self):
-        """A cut host sees the third loss; the leader asks for it later."""
+    def test_loss_detected_behind_a_partition(self):
+        """A disconnected host detects the third loss and reports it later."""
         cut = self.net.hosts[3]
         for number, at in ((1, 1.0), (2, 5.0)):
             self.net.hosts[number].lose(f"u{number}", at)
@@ -127,37 +127,37 @@
         self.net.deliver(9.0)
         self.net.cut = set()
         for turn in (1, 2):
-            self.net.report(9.0 + turn * _REPORT_EVERY)
+            self.net.report(9.0 + turn * _REPORT_INTERVAL)
         self.assertEqual(
-            [True] * 5, [host.knows(10.0) for host in self.net.hosts]
+            [True] * 5, [host.is_quarantined(10.0) for host in self.net.hosts]
         )
 
     def test_new_leader_that_knows_nothing(self):
-        """The leader is lost, and a host that has just started follows it."""
+        """The leader is lost; a host that has just started succeeds it."""
         self.lose_three()
         new = Host(self.net, 9)
         self.net.hosts[0] = new
         for host in self.net.hosts:
             host.leader = new.link
         self.net.report(12.0)
-        self.assertTrue(new.knows(12.0))
+        self.assertTrue(new.is_quarantined(12.0))
 
     def test_clearance_reaches_all(self):
         self.lose_three()
         self.assertTrue(self.net.hosts[2].shared.lift(DEADLY, 20.0))
         self.net.deliver(20.0)
         self.assertEqual(
-            [False] * 5, [host.knows(20.0) for host in self.net.hosts]
+            [False] * 5, [host.is_quarantined(20.0) for host in self.net.hosts]
         )
         self.assertFalse(self.net.hosts[2].shared.lift(DEADLY, 21.0))
 
     def test_silence_once_all_copies_are_alike(self):
         self.lose_three()
         for turn in range(5):
-            self.net.report(10.0 + turn * _REPORT_EVERY)
+            self.net.report(10.0 + turn * _REPORT_INTERVAL)
         before = self.net.delivered
         for turn in range(50):
-            now = 12.0 + turn * _REPORT_EVERY
+            now = 12.0 + turn * _REPORT_INTERVAL
             for host in self.net.hosts:
                 host.shared.run_periodic(now)
             self.net.report(now)
@@ -165,23 +165,23 @@
 
 
 class TestCutHealed(testtools.TestCase):
-    """A third of the hosts was cut off, and each saw other upstreams end.
+    """A third of the hosts was cut off, and each detected other losses.
 
-    They had no leader, so their copies differ from each other and from the
-    leader's. When the cut heals each copy is news: passed on whole to all
-    hosts with each that comes, what the leader sends waits in its memory,
-    and the process is ended for its size.
+    Without a leader their copies differed from each other and from the
+    leader's. When the partition heals, each copy contains changes. If the
+    leader sent its whole copy to all hosts after each merge, the messages
+    would queue up in its memory until its process is killed.
     """
 
     HOSTS = 60
     CUT = 20
     SUSPECTS = 4
     # Bytes a second: a quarter of what a link of 200 Mbit/s carries.
-    MOST = 6_250_000
+    MAX_SEND_RATE = 6_250_000
 
     def setUp(self):
         super().setUp()
-        self.net = Net(self.HOSTS)
+        self.net = Network(self.HOSTS)
         self.net.report(0.0)
 
     def lose_some(self, host, name, at):
@@ -192,7 +192,7 @@
         host.lose(name, at, some)
 
     def cut_and_heal(self, near, far):
-        """Let upstreams end on both sides of a cut, which then heals."""
+        """End upstreams on both sides of a partition, then heal it."""
         net = self.net
         cut = net.hosts[-self.CUT :]
         net.cut = {host.link for host in cut}
@@ -220,11 +220,11 @@
             self.step(turn, round(6.0 + turn * 0.1, 1))
         versions = {host.quarantine.version for host in self.net.hosts}
         self.assertEqual(1, len(versions))
-        self.assertLess(self.net.leader_bytes, 4 * self.MOST)
+        self.assertLess(self.net.leader_bytes, 4 * self.MAX_SEND_RATE)
 
     def test_leader_sends_what_a_link_carries(self):
-        # More losses than a copy has room for, upstreams that go on ending,
-        # and requests that were beside them and end well elsewhere.
+        # More losses than a copy can hold, while more upstreams end and
+        # innocent requests are cleared by ending well on other hosts.
         self.cut_and_heal(60, 4)
         for turn in range(20):
             now = round(6.0 + turn * 0.1, 1)
@@ -233,4 +233,4 @@
                 Fingerprint(f"near-{turn}-0-fingerprint-0"), now
             )
             self.step(turn, now)
-        self.assertLess(self.net.leader_bytes, 2 * self.MOST)
+        self.assertLess(self.net.leader_bytes, 2 * self.MAX_SEND_RATE)
--- a/tests/daemons/test_quarantinerecord.py
+++ b/tests/daemons/test_quarantinerecord.py
@@ -1,4 +1,4 @@
-"""Tests of the record that outlives all hosts."""
+"""Tests of the stored quarantine, which survives the loss of all hosts."""
 
 import testtools
 
@@ -20,7 +20,7 @@
 
 
 class Store:
-    """Takes transactions, or fails."""
+    """Accepts transactions, or fails while it is unavailable."""
 
     def __init__(self):
         self.calls = []
@@ -45,7 +45,7 @@
             self.deployment.quarantine.note_loss(f"u{number}", ["f"], at, at)
 
     def read_back(self, now):
-        """Let the watch bring what was written last."""
+        """Apply the last written record, as the store's watch would."""
         write = self.store.calls[-1][1][0]
         revision = Position(0, 10 + len(self.store.calls))
         item = Item(QUARANTINE_KEY, revision, write.value)
@@ -65,7 +65,7 @@
         self.assertEqual(2, len(self.store.calls))
 
     def test_single_loss_is_written_and_its_clearance_later(self):
-        # Guards against a call for each innocent request beside a loss.
+        # Guards against a write for each innocent request that is cleared.
         quarantine = self.deployment.quarantine
         quarantine.note_loss("u", ["f", "g"], 1.0, 1.0)
         self.writer.run_periodic(TERM, 1.0)
--- a/tests/daemons/test_trials.py
+++ b/tests/daemons/test_trials.py
@@ -1,4 +1,4 @@
-"""Tests of how hosts ask for leave to run suspects."""
+"""Tests of how hosts ask for trials of suspect requests."""
 
 import random
 import time
@@ -23,8 +23,8 @@
 DEADLY = Fingerprint("deadly")
 
 
-def make_job(seconds=1.0):
-    """Return a request whose caller waits for so long."""
+def make_context(seconds=1.0):
+    """Return a suspect request whose caller waits for some seconds."""
     now = read_clock()
     return types.SimpleNamespace(
         fields=types.SimpleNamespace(request=RequestId("r")),
@@ -53,8 +53,8 @@
         )
 
 
-class Net:
-    """Hosts that all know of the same losses, and their messages."""
+class Network:
+    """Hosts that know of the same losses, and the messages between them."""
 
     def __init__(self, count, losses):
         self.lost = set()
@@ -70,7 +70,7 @@
                 )
 
     def send(self, link, message):
-        """Leave words of the quarantine out."""
+        """Drop messages of the quarantine."""
 
     def deliver(self, sender, link, message):
         if self.lost & {sender, link}:
@@ -82,15 +82,15 @@
 class TestTrials(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.net = Net(3, 1)
+        self.net = Network(3, 1)
 
-    def open(self, number, job=None):
-        """Return a host's trial, which the test has to leave."""
+    def open(self, number, context=None):
+        """Return a trial of a host, released at the end of the test."""
         trials = self.net.hosts[number].trials
-        return self.enterContext(trials.open(job or make_job()))
+        return self.enterContext(trials.open(context or make_context()))
 
     def test_request_that_nothing_speaks_against_asks_nobody(self):
-        self.net = Net(3, 0)
+        self.net = Network(3, 0)
         self.net.lost = {self.net.leader}
         self.assertIs(Verdict.NEEDLESS, self.open(1).ask())
 
@@ -99,42 +99,46 @@
         self.assertIs(Verdict.GRANTED, first.ask())
         self.assertIs(Verdict.QUEUED, second.ask())
         self.assertIs(Verdict.QUEUED, third.ask())
-        first.begin()
-        first.note(Failure.NONE)
-        first.leave()
+        first.mark_sending()
+        first.note_result(Failure.NONE)
+        first.release()
         self.assertTrue(second.wait())
         self.assertIs(Verdict.NEEDLESS, second.ask())
         self.assertTrue(third.wait())
-        # The leader's host tells all others.
+        # The leader's host forwards the clearance to all others.
         self.assertFalse(self.net.hosts[0].quarantine.is_suspect(DEADLY))
 
     def test_broken_run_refuses_the_others_with_a_time(self):
-        first, job = self.open(1), make_job()
-        second = self.open(2, job)
+        first, context = self.open(1), make_context()
+        second = self.open(2, context)
         first.ask()
         second.ask()
-        first.begin()
-        first.note(Failure.BROKEN)
-        first.leave()
+        first.mark_sending()
+        first.note_result(Failure.BROKEN)
+        first.release()
         self.assertFalse(second.wait())
-        self.assertEqual(("on trial", 1.0), (job.note, job.retry_after))
+        self.assertEqual(
+            ("on trial", 1.0), (context.note, context.retry_after)
+        )
 
     def test_lost_leader_refuses_at_once(self):
-        # Guards against copies at all hosts while nobody can be asked.
+        # Guards against copies run by all hosts while no leader replies.
         self.net.lost = {self.net.leader}
-        job = make_job()
-        self.assertIs(Verdict.REFUSED, self.open(1, job).ask())
-        self.assertEqual(("on trial", 1.0), (job.note, job.retry_after))
+        context = make_context()
+        self.assertIs(Verdict.REFUSED, self.open(1, context).ask())
+        self.assertEqual(
+            ("on trial", 1.0), (context.note, context.retry_after)
+        )
         began = time.monotonic()
         self.assertIs(Verdict.REFUSED, self.open(1).ask())
         self.assertLess(time.monotonic() - began, 0.05)
 
     def test_caller_that_leaves_lets_the_next_copy_run(self):
-        # Guards against a request that nobody may run after its caller left.
+        # Guards against a trial that a caller that left keeps forever.
         trials = self.net.hosts[1].trials
 
         def run():
-            with trials.open(make_job()) as trial:
+            with trials.open(make_context()) as trial:
                 trial.ask()
                 gevent.sleep(10.0)
 
@@ -147,17 +151,17 @@
         self.assertIs(Verdict.GRANTED, second.ask())
 
     def test_patience_ends_while_an_answer_is_still_in_time(self):
-        first, second = self.open(1), self.open(2, make_job(0.2))
+        first, second = self.open(1), self.open(2, make_context(0.2))
         first.ask()
         second.ask()
         began = time.monotonic()
         self.assertFalse(second.wait())
         self.assertLess(time.monotonic() - began, 0.2)
 
-    def test_grave_suspect_is_told_to_run_alone(self):
-        self.net = Net(3, 2)
-        job = make_job()
-        trial = self.open(1, job)
+    def test_strong_suspect_is_told_to_run_alone(self):
+        self.net = Network(3, 2)
+        context = make_context()
+        trial = self.open(1, context)
         self.assertIs(Verdict.GRANTED, trial.ask())
-        trial.begin()
-        self.assertTrue(job.alone)
+        trial.mark_sending()
+        self.assertTrue(context.alone)
--- a/tests/daemons/test_upstreamselector.py
+++ b/tests/daemons/test_upstreamselector.py
@@ -1,4 +1,4 @@
-"""Tests of how long a request waits for leave to be sent."""
+"""Tests of selecting an upstream and waiting for permission to send."""
 
 import random
 
@@ -45,7 +45,7 @@
 OBJECTIVE, TIMEOUT = 0.6, 4.0
 
 
-def make_job(keyed, **progress):
+def make_context(keyed, **progress):
     now = read_clock()
     route = RouteRule(
         RouteName("map"),
@@ -69,21 +69,21 @@
     )
 
 
-class Places:
-    """Refuses, and keeps how long it was asked to wait."""
+class RefusingPlaces:
+    """Refuses every place and records the time offered for the wait."""
 
-    def enter(self, upstream, priority, left, cold_bound=None, limit=None):
+    def acquire(self, upstream, priority, left, cold_bound=None, limit=None):
         self.left = left
         return PlaceRefused(1.0)
 
 
-class TestPassages(testtools.TestCase):
+class TestUpstreamSelector(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.places = Places()
+        self.places = RefusingPlaces()
         deployment = DeploymentState(PlatformRegistry())
         deployment.directory.put(UPSTREAM, read_clock())
-        self.passages = UpstreamSelector(
+        self.selector = UpstreamSelector(
             deployment,
             UpstreamChannels(1000),
             self.places,
@@ -91,46 +91,48 @@
             "north",
             random.Random(1),
         )
-        self.passages._find_target = lambda job, declined, now: Target(
+        self.selector._find_target = lambda context, declined, now: Target(
             UPSTREAM, 1
         )
 
     def find(self, **progress):
-        self.assertIsNone(self.passages.find(make_job(True, **progress)))
+        self.assertIsNone(
+            self.selector.acquire(make_context(True, **progress))
+        )
         return self.places.left
 
     def test_first_send_waits_while_its_answer_can_be_in_time(self):
         self.assertLess(self.find(), OBJECTIVE)
 
     def test_declined_request_waits_no_longer_than_a_new_one(self):
-        """The upstream was full and says that nothing ran.
+        """A full upstream declined the request, so nothing has run.
 
-        The caller can be told so and come again. Held in the queue instead,
-        it would hear the same near its deadline, too late to do so.
+        The caller can be told so and retry. If the request waited on, the
+        caller would learn it only near the deadline, too late for a retry.
         """
         left = self.find(sends=1, outcome=Outcome.NOT_RUN)
         self.assertLess(left, OBJECTIVE)
 
     def test_request_that_may_have_run_waits_for_an_answer(self):
-        # Only an answer can tell its caller what became of it.
+        # Only an answer can tell its caller whether it ran.
         left = self.find(sends=1, outcome=Outcome.UNKNOWN)
         self.assertGreater(left, OBJECTIVE)
 
 
-class LentPlaces:
-    """Lends places at cold upstreams as told, and keeps who was asked."""
+class FakePlaces:
+    """Gives the same result for every place and records the arguments."""
 
     def __init__(self, answer):
         self.answer = answer
         self.asked = []
 
-    def enter(self, upstream, priority, left, cold_bound=None, limit=None):
+    def acquire(self, upstream, priority, left, cold_bound=None, limit=None):
         self.asked.append((upstream.registered_name, cold_bound, left))
         return self.answer
 
 
 class TestCold(testtools.TestCase):
-    """An upstream is cold and bears less than hosts would send it."""
+    """An upstream is cold and can handle less than hosts would send it."""
 
     def setUp(self):
         super().setUp()
@@ -149,8 +151,8 @@
         return entry
 
     def find(self, answer, keyed=False):
-        self.places = LentPlaces(answer)
-        passages = UpstreamSelector(
+        self.places = FakePlaces(answer)
+        selector = UpstreamSelector(
             self.deployment,
             UpstreamChannels(1000),
             self.places,
@@ -158,11 +160,11 @@
             "north",
             random.Random(1),
         )
-        self.job = make_job(keyed)
+        self.context = make_context(keyed)
         if keyed:
             target = Target(self.deployment.directory.list_all()[0], 1)
-            passages._find_target = lambda job, declined, now: target
-        return passages.find(self.job)
+            selector._find_target = lambda context, declined, now: target
+        return selector.acquire(self.context)
 
     def test_lender_is_asked_for_each_send(self):
         place = Place(lambda *_: None)
@@ -170,27 +172,28 @@
         self.assertEqual([("map-1", 7, 0.0)], self.places.asked)
 
     def test_request_without_key_goes_to_a_warm_one_instead(self):
-        # Both are idle, and the cold one bears no more.
+        # Both are idle, and the cold one has reached its limit.
         self.put("map-2", 0.0)
         for _ in range(20):
-            passage = self.find(PlaceRefused(0.4))
-            self.assertEqual("map-2", passage.target.upstream.registered_name)
+            permit = self.find(PlaceRefused(0.4))
+            self.assertEqual("map-2", permit.target.upstream.registered_name)
 
     def test_only_cold_ones_left(self):
         began = read_clock()
         self.assertIsNone(self.find(PlaceRefused(1.2)))
         self.assertLess(read_clock() - began, 0.1)
-        self.assertEqual(1.2, self.job.retry_after)
+        self.assertEqual(1.2, self.context.retry_after)
 
-    def test_nobody_lends(self):
-        """The lender is lost, and nobody knows what others send.
+    def test_nothing_is_sent_to_a_cold_one_without_a_lender(self):
+        """The lender is lost, and no host knows what others send.
 
-        Each host on its own would send a little, and 66 of them a flood. So
-        nothing is sent until there is a lender or the upstream is warm.
+        Each host on its own would send few requests, but 66 hosts would
+        overload the upstream. Nothing is sent until there is a lender or the
+        upstream is warm.
         """
         self.assertIsNone(self.find(None))
         self.assertIsNone(self.find(None, keyed=True))
-        self.assertEqual("cold", self.job.note)
+        self.assertEqual("cold", self.context.note)
 
     def test_warm_one_needs_no_lender(self):
         self.put("map-1", 0.0)
@@ -204,7 +207,7 @@
 
 
 class KnownUpstreamTest(testtools.TestCase):
-    """A host that knows one upstream, which owns all keys."""
+    """A host with one upstream, which owns all keys."""
 
     def setUp(self):
         super().setUp()
@@ -215,10 +218,10 @@
         self.deployment.update_table(
             SERVICE, table, Position(0, 1), read_clock()
         )
-        self.passages = UpstreamSelector(
+        self.selector = UpstreamSelector(
             self.deployment,
             UpstreamChannels(1000),
-            LentPlaces(None),
+            FakePlaces(None),
             AnswerAverages(),
             "north",
             random.Random(1),
@@ -226,48 +229,50 @@
 
 
 class TestLeaving(KnownUpstreamTest):
-    """An upstream says in its answers that it leaves."""
+    """An upstream announces in its answers that it is leaving."""
 
-    def test_request_that_waited_is_not_sent_after_the_word(self):
-        # Guards against what was let through before the word came.
+    def test_waiting_request_is_not_sent_after_the_announcement(self):
+        # Guards against sending with a permit acquired before the
+        # announcement.
         for keyed in (True, False):
-            job = make_job(keyed)
-            passage = self.passages.find(job)
-            self.assertTrue(self.passages.may_send(job, passage))
+            context = make_context(keyed)
+            permit = self.selector.acquire(context)
+            self.assertTrue(self.selector.may_send(context, permit))
         self.deployment.note_leaving(UPSTREAM.name)
-        self.assertFalse(self.passages.may_send(job, passage))
-        self.assertFalse(self.passages.may_send(make_job(True), passage))
+        self.assertFalse(self.selector.may_send(context, permit))
+        self.assertFalse(self.selector.may_send(make_context(True), permit))
 
-    def test_caller_hears_at_once_while_nobody_can_move_its_key(self):
-        # Guards against callers held for an owner that can't come.
+    def test_caller_is_refused_at_once_while_its_key_can_not_move(self):
+        # Guards against holding callers for a new owner while the store is
+        # silent and none can be assigned.
         self.deployment.note_leaving(UPSTREAM.name)
         self.deployment.heard_at = read_clock() - 4.0
-        job, began = make_job(True), read_clock()
-        self.assertIsNone(self.passages.find(job))
+        context, began = make_context(True), read_clock()
+        self.assertIsNone(self.selector.acquire(context))
         self.assertLess(read_clock() - began, 0.05)
-        self.assertEqual(STORE_SILENT_RETRY_DELAY, job.retry_after)
-        self.assertEqual("owner-gone", job.note)
+        self.assertEqual(STORE_SILENT_RETRY_DELAY, context.retry_after)
+        self.assertEqual("owner-gone", context.note)
 
 
 class TestBackoff(KnownUpstreamTest):
     """An upstream has asked this host to back off."""
 
-    def test_request_that_waited_is_not_sent_after_the_word(self):
-        # Guards against what was let through before the word came.
-        job = make_job(False)
-        passage = self.passages.find(job)
+    def test_waiting_request_is_not_sent_after_a_backoff(self):
+        # Guards against sending with a permit acquired before the backoff.
+        context = make_context(False)
+        permit = self.selector.acquire(context)
         self.deployment.backoffs.note(UPSTREAM.name, 1.0, read_clock())
-        self.assertFalse(self.passages.may_send(job, passage))
+        self.assertFalse(self.selector.may_send(context, permit))
 
-    def test_caller_hears_at_once_what_is_left(self):
-        # Guards against callers held for an upstream that wants nothing.
+    def test_caller_is_told_the_remaining_backoff_at_once(self):
+        # Guards against holding callers for an upstream in backoff.
         self.deployment.backoffs.note(UPSTREAM.name, 2.0, read_clock())
         for keyed in (True, False):
-            job, began = make_job(keyed), read_clock()
-            self.assertIsNone(self.passages.find(job))
+            context, began = make_context(keyed), read_clock()
+            self.assertIsNone(self.selector.acquire(context))
             self.assertLess(read_clock() - began, 0.05)
-            self.assertAlmostEqual(2.0, job.retry_after, 1)
-            self.assertEqual("backing-off", job.note)
+            self.assertAlmostEqual(2.0, context.retry_after, 1)
+            self.assertEqual("backing-off", context.note)
 
     def test_request_without_key_goes_to_another(self):
         other = msgspec.structs.replace(
@@ -276,51 +281,52 @@
         self.deployment.directory.put(other, read_clock())
         self.deployment.backoffs.note(UPSTREAM.name, 2.0, read_clock())
         for _ in range(20):
-            passage = self.passages.find(make_job(False))
-            self.assertEqual(other, passage.target.upstream)
-            passage.leave()
+            permit = self.selector.acquire(make_context(False))
+            self.assertEqual(other, permit.target.upstream)
+            permit.release()
 
 
 class TestLimit(KnownUpstreamTest):
-    """An upstream has named a limit for all hosts together."""
+    """An upstream has stated a rate limit for all hosts together."""
 
-    def name_limit(self, rate):
+    def state_limit(self, rate):
         now = read_clock()
         said = StatedLimit(rate, now, now)
         self.deployment.limits.note(UPSTREAM.name, said)
 
     def test_request_that_waited_asks_again_for_the_limit(self):
-        # Guards against what was let through by this host's own window.
-        job = make_job(False)
-        passage = self.passages.find(job)
-        self.assertIsNone(passage.place)
-        self.name_limit(2.2)
-        self.assertFalse(self.passages.may_send(job, passage))
-
-    def test_nothing_is_sent_while_nobody_counts(self):
-        # Guards against hosts that each take a share which adds up to more.
-        self.name_limit(2.2)
+        # Guards against sending with a permit from this host's own window.
+        context = make_context(False)
+        permit = self.selector.acquire(context)
+        self.assertIsNone(permit.place)
+        self.state_limit(2.2)
+        self.assertFalse(self.selector.may_send(context, permit))
+
+    def test_nothing_is_sent_without_a_lender(self):
+        # Guards against hosts that together exceed the limit, each sending
+        # by its own estimate.
+        self.state_limit(2.2)
         for keyed in (True, False):
-            job, began = make_job(keyed), read_clock()
-            self.assertIsNone(self.passages.find(job))
+            context, began = make_context(keyed), read_clock()
+            self.assertIsNone(self.selector.acquire(context))
             self.assertLess(read_clock() - began, 0.05)
-            self.assertEqual("limited", job.note)
-            self.assertEqual(1.0, job.retry_after)
+            self.assertEqual("limited", context.note)
+            self.assertEqual(1.0, context.retry_after)
 
     def test_caller_hears_when_the_limit_has_room(self):
-        self.passages._places = LentPlaces(PlaceRefused(3.4))
-        self.name_limit(0.3)
-        job = make_job(True)
-        self.assertIsNone(self.passages.find(job))
-        self.assertEqual(3.4, job.retry_after)
+        self.selector._places = FakePlaces(PlaceRefused(3.4))
+        self.state_limit(0.3)
+        context = make_context(True)
+        self.assertIsNone(self.selector.acquire(context))
+        self.assertEqual(3.4, context.retry_after)
 
     def test_request_without_key_goes_to_one_that_names_none(self):
-        self.name_limit(50.0)
+        self.state_limit(50.0)
         other = msgspec.structs.replace(
             UPSTREAM, registered_name=UpstreamName("map-2")
         )
         self.deployment.directory.put(other, read_clock())
         for _ in range(20):
-            passage = self.passages.find(make_job(False))
-            self.assertEqual(other, passage.target.upstream)
-            passage.leave()
+            permit = self.selector.acquire(make_context(False))
+            self.assertEqual(other, permit.target.upstream)
+            permit.release()
