--- a/sedgetide/daemons/_admin.py
+++ b/sedgetide/daemons/_admin.py
@@ -16,7 +16,7 @@
 Application = Callable[[_Environment, _Respond], Iterable[bytes]]
 
 
-def _tell_readiness(process: Inspectable, respond: _Respond) -> list[bytes]:
+def _answer_readiness(process: Inspectable, respond: _Respond) -> list[bytes]:
     ready = process.is_ready()
     body = b"ready\n" if ready else b"not ready\n"
     headers = [
@@ -30,23 +30,23 @@
 def make_application(process: Inspectable, readiness_path: str) -> Application:
     """Return the admin application.
 
-    The balancer's question is answered here; the other pages are loaded
-    when one is first asked for. Loading them takes 0.08 of the 0.35 s of
-    processor time that a host needs to start, and after a power cut hundreds
-    start at once.
+    The balancer's readiness check is answered here; the other pages are
+    imported on their first request. Importing them takes 0.08 of the 0.35 s
+    of CPU time that a host needs to start, and after a power cut hundreds of
+    hosts start at once.
 
     Parameters
     ----------
     process : Inspectable
-        What is shown.
+        The process to report on.
     readiness_path : str
-        Where readiness is asked for.
+        Path of the readiness check.
     """
     pages: list[Application] = []
 
     def serve(environment: _Environment, respond: _Respond) -> Iterable[bytes]:
         if environment["PATH_INFO"] == readiness_path:
-            return _tell_readiness(process, respond)
+            return _answer_readiness(process, respond)
         if not pages:
             from sedgetide.daemons._adminpages import make_pages
 
@@ -59,16 +59,16 @@
 def start_admin(
     address: str, process: Inspectable, stack: contextlib.ExitStack
 ) -> None:
-    """RequestHandler the admin port until the stack is closed.
+    """Serve the admin port until the stack is closed.
 
     Parameters
     ----------
     address : str
         ``IP:port`` to listen on.
     process : Inspectable
-        What is shown.
+        The process to report on.
     stack : contextlib.ExitStack
-        Owns the server.
+        Stops the server when it is closed.
     """
     application = make_application(process, "/readyz")
     listener = open_listener(*split_address(address))
--- a/sedgetide/daemons/_adminpages.py
+++ b/sedgetide/daemons/_adminpages.py
@@ -1,4 +1,4 @@
-"""Pages of the admin port for people and monitoring."""
+"""Pages of the admin port for operators and monitoring."""
 
 import falcon
 import msgspec
@@ -25,7 +25,7 @@
 
 
 class _Lift:
-    """Takes a request out of the quarantine, on all hosts."""
+    """Lifts the quarantine of a request on all hosts."""
 
     def __init__(self, process: Inspectable) -> None:
         self._process = process
@@ -51,7 +51,7 @@
 
 
 def make_pages(process: Inspectable) -> falcon.App:
-    """Return the application that shows a process."""
+    """Return the application with the admin pages of a process."""
     application = falcon.App()
     application.add_route("/healthz", _Health())
     application.add_route("/state", _State(process))
--- a/sedgetide/daemons/_frontend.py
+++ b/sedgetide/daemons/_frontend.py
@@ -1,4 +1,4 @@
-"""The HTTP side of an entry: callers' requests in, outcomes out."""
+"""HTTP frontend of an entry: accepts callers' requests and answers them."""
 
 import functools
 import logging
@@ -44,13 +44,13 @@
     Reason.SILENT: 504,
     Reason.DEADLINE: 503,
 }
-_PLAIN_STATUSES = {Outcome.NOT_RUN: 503, Outcome.UNKNOWN: 502}
+_DEFAULT_STATUSES = {Outcome.NOT_RUN: 503, Outcome.UNKNOWN: 502}
 
 _log = logging.getLogger(__name__)
 
 
 class RawTargetHandler(WSGIHandler):
-    """Keeps the request target as sent, which WSGI itself decodes."""
+    """Keeps the request target as sent; WSGI passes on only a decoded path."""
 
     def get_environ(self) -> dict[str, Any]:
         """Return the WSGI environment with the raw target."""
@@ -59,14 +59,15 @@
         return environ
 
     def log_request(self) -> None:
-        """Log nothing; the metrics tell of each request."""
+        """Log nothing; requests are counted in the metrics."""
 
 
 @functools.lru_cache(maxsize=1024)
-def _name_header(variable: str) -> str | None:
-    """Return the header of a WSGI variable, or None if it goes no further.
+def _get_header_name(variable: str) -> str | None:
+    """Return the header name of a WSGI variable; None if it is not forwarded.
 
-    Callers must not speak to upstreams in the router's own name.
+    Headers with the router's own prefix are dropped, so that callers can not
+    impersonate the router towards upstreams.
     """
     if variable == "CONTENT_TYPE":
         return "Content-Type"
@@ -81,31 +82,33 @@
 def _read_headers(environ: dict[str, Any]) -> list[tuple[str, str]]:
     headers = []
     for variable, value in environ.items():
-        name = _name_header(variable)
+        name = _get_header_name(variable)
         if name is not None and value:
             headers.append((name, value))
     return headers
 
 
 @functools.lru_cache(maxsize=4096)
-def _count_requests(service: str, outcome: Outcome, reason: Reason) -> Counter:
+def _get_request_counter(
+    service: str, outcome: Outcome, reason: Reason
+) -> Counter:
     return ENTRY_REQUESTS.labels(service, outcome.value, reason.value)
 
 
 @functools.lru_cache(maxsize=1024)
-def _time_requests(service: str) -> Histogram:
+def _get_duration_histogram(service: str) -> Histogram:
     return ENTRY_SECONDS.labels(service)
 
 
 class Frontend:
-    """Falcon sink that turns requests into calls and answers them.
+    """Falcon sink that dispatches callers' requests and writes the responses.
 
     Parameters
     ----------
     dispatcher : Dispatcher
-        Brings calls to their outcome.
+        Executes the calls.
     limits : Limits
-        Bounds of bodies, headers and requests in hand.
+        Limits on bodies, headers and requests in progress.
     """
 
     def __init__(self, dispatcher: Dispatcher, limits: Limits) -> None:
@@ -126,16 +129,16 @@
     def serve(
         self, request: falcon.Request, response: falcon.Response, **_: Any
     ) -> None:
-        """Serve one request of a caller."""
+        """Serve one request of a caller and update the metrics."""
         began = time.monotonic()
         self.in_hand += 1
         try:
             service, result = self._process(request, began)
         finally:
             self.in_hand -= 1
-        self._fill(response, result)
-        _count_requests(service, result.outcome, result.reason).inc()
-        _time_requests(service).observe(time.monotonic() - began)
+        self._write_response(response, result)
+        _get_request_counter(service, result.outcome, result.reason).inc()
+        _get_duration_histogram(service).observe(time.monotonic() - began)
 
     def _process(
         self, request: falcon.Request, began: float
@@ -184,20 +187,22 @@
         try:
             body = request.env["wsgi.input"].read(limit + 1)
         except OSError as error:
-            # A body that ends early must not pass for the whole.
+            # A truncated body must not be forwarded as a complete one.
             raise falcon.HTTPBadRequest(title="body ended early") from error
         if len(body) > limit:
             raise falcon.HTTPContentTooLarge(title=f"body over {limit} bytes")
         return body
 
-    def _fill(self, response: falcon.Response, result: Response) -> None:
+    def _write_response(
+        self, response: falcon.Response, result: Response
+    ) -> None:
         if result.outcome is Outcome.ANSWERED:
             response.status = result.status
             for name, value in result.headers:
                 response.append_header(name, value)
             response.data = result.body
         else:
-            self._fill_failure(response, result)
+            self._write_failure(response, result)
         response.set_header(HEADER_OUTCOME, result.outcome.value)
         if result.owner:
             response.set_header(HEADER_OWNER, result.owner)
@@ -206,10 +211,10 @@
         if self.closing:
             response.set_header("Connection", "close")
 
-    def _fill_failure(
+    def _write_failure(
         self, response: falcon.Response, result: Response
     ) -> None:
-        plain = _PLAIN_STATUSES[result.outcome]
+        plain = _DEFAULT_STATUSES[result.outcome]
         response.status = _STATUSES.get(result.reason, plain)
         response.set_header(HEADER_REASON, result.reason.value)
         if result.outcome is Outcome.NOT_RUN and response.status == 503:
@@ -228,14 +233,14 @@
         _: dict[str, Any],
     ) -> None:
         if isinstance(error, falcon.HTTPError):
-            # Raised only before a request is handed over.
+            # Raised only before the request is passed to the dispatcher.
             response.status = error.status
             response.set_header(HEADER_OUTCOME, Outcome.NOT_RUN.value)
             response.media = {"outcome": "not-run", "reason": error.title}
             response.set_header("Connection", "close")
             return
         _log.exception("request failed", extra={"target": request.path})
-        self._fill(
+        self._write_response(
             response,
             Response(RequestId(""), Outcome.UNKNOWN, Reason.BAD_ANSWER),
         )
@@ -251,16 +256,16 @@
 
 
 def _read_deadline(request: falcon.Request, match: Match) -> float:
-    """Return the seconds a caller gives; its own wish may only shorten."""
-    wish = request.get_header(HEADER_DEADLINE)
-    if wish is None:
+    """Return the deadline in seconds; a caller may only shorten it."""
+    requested = request.get_header(HEADER_DEADLINE)
+    if requested is None:
         return match.route.deadline
-    if not wish.isdigit() or int(wish) == 0:
+    if not requested.isdigit() or int(requested) == 0:
         raise falcon.HTTPBadRequest(
-            title=f"{HEADER_DEADLINE}: {wish!r}: accepted is a whole number "
-            "of milliseconds above 0"
+            title=f"{HEADER_DEADLINE}: {requested!r}: accepted is a whole "
+            "number of milliseconds above 0"
         )
-    return min(int(wish) / 1000.0, match.route.deadline)
+    return min(int(requested) / 1000.0, match.route.deadline)
 
 
 def _read_operation(request: falcon.Request) -> OperationId | None:
@@ -269,8 +274,8 @@
         return None
     issued = find_issue_time(OperationId(operation))
     if issued is None or issued > time.time() + 1.0:
-        # An id from the future would seem new to a keeper that took over
-        # after the operation ran.
+        # A keeper that took over after the operation had run would treat an
+        # id from the future as new and run the operation again.
         raise falcon.HTTPBadRequest(
             title=f"{HEADER_OPERATION}: {operation!r}: accepted is a "
             "version 7 UUID of the present time or before"
--- a/sedgetide/daemons/_inspection.py
+++ b/sedgetide/daemons/_inspection.py
@@ -1,4 +1,4 @@
-"""What a process tells about itself."""
+"""Interface through which the admin port inspects a process."""
 
 import abc
 from typing import Any
@@ -7,19 +7,19 @@
 
 
 class Inspectable(abc.ABC):
-    """A process that can tell about itself."""
+    """A process that reports its readiness and state."""
 
     @abc.abstractmethod
     def is_ready(self) -> bool:
-        """Tell whether the process should get new work."""
+        """Return whether the process should get new requests."""
 
     def lift_quarantine(self, fingerprint: Fingerprint) -> bool:
-        """Let a request through that is refused; return whether it was.
+        """Lift the quarantine of a request; return whether it was suspect.
 
-        Processes without a quarantine refuse none.
+        Processes without a quarantine return False.
         """
         return False
 
     @abc.abstractmethod
     def dump_state(self) -> dict[str, Any]:
-        """Return the state as built-in types that JSON can hold."""
+        """Return the state as built-in types that JSON can encode."""
--- a/sedgetide/daemons/_logs.py
+++ b/sedgetide/daemons/_logs.py
@@ -1,6 +1,7 @@
-"""Logs: one line of key=value pairs for each event, on standard output.
+"""Logs: one logfmt line for each event, on standard output.
 
-Bounded, and never in the way: the loop that serves requests writes them.
+The loop that serves requests writes the lines, so their number is limited and
+writing never blocks.
 """
 
 import collections
@@ -18,16 +19,16 @@
 from sedgetide.runtime.events import Event
 
 LINES_PER_SECOND = 300
-_RESERVED = 100
-_WAITING_LINES = 2000
-_WAITING_BYTES = 1024 * 1024
+_RESERVED_LINES = 100
+_MAX_QUEUED_LINES = 2000
+_MAX_QUEUED_BYTES = 1024 * 1024
 
-_PLAIN = re.compile(r"[\w.:/\-+,@>]+", re.ASCII)
+_UNQUOTED = re.compile(r"[\w.:/\-+,@>]+", re.ASCII)
 
 
-def _show_value(value: Any) -> str:
+def _format_value(value: Any) -> str:
     text = str(value)
-    if _PLAIN.fullmatch(text):
+    if _UNQUOTED.fullmatch(text):
         return text
     escaped = text.replace("\\", "\\\\").replace('"', '\\"')
     return '"' + escaped.replace("\n", "\\n") + '"'
@@ -36,7 +37,7 @@
 def format_logfmt(event: dict[str, Any], **_: Any) -> str:
     """Return an event as one line of key=value pairs.
 
-    Takes the place of ``json.dumps`` in the library's formatter.
+    Replaces ``json.dumps`` in the formatter of python-json-logger.
 
     Examples
     --------
@@ -44,115 +45,119 @@
     'event="shard moved" epoch=3'
     """
     return " ".join(
-        f"{name}={_show_value(value)}" for name, value in event.items()
+        f"{name}={_format_value(value)}" for name, value in event.items()
     )
 
 
 class LineRateLimit:
-    """How many lines may be written, and which are left out above that.
+    """Limits the number of lines in each second.
 
-    Answered requests are left out first; the last third of each second's
-    lines is kept for all else.
+    Lines of answered requests are omitted first; the last third of each
+    second's lines is reserved for all others.
 
     Parameters
     ----------
-    most : int
+    max_lines : int
         Lines a second.
     reserved : int
-        Lines of these for what is no answered request.
+        Number of these lines that answered requests may not use.
     """
 
     def __init__(
-        self, most: int = LINES_PER_SECOND, reserved: int = _RESERVED
+        self,
+        max_lines: int = LINES_PER_SECOND,
+        reserved: int = _RESERVED_LINES,
     ) -> None:
-        self._most = most
+        self._max_lines = max_lines
         self._reserved = reserved
         self._second = 0
         self._count = 0
         self.omitted = 0
 
-    def admit(self, plain: bool, now: float) -> bool:
-        """Tell whether a line may be written.
+    def admit(self, answered: bool, now: float) -> bool:
+        """Return whether a line may be written.
 
         Parameters
         ----------
-        plain : bool
-            Whether it tells of a request that was answered.
+        answered : bool
+            Whether the line is that of an answered request.
         now : float
-            Own clock.
+            Current time in seconds.
         """
         second = int(now)
         if second != self._second:
             self._second = second
             self._count = 0
-        most = self._most - self._reserved if plain else self._most
-        if self._count >= most:
+        max_lines = (
+            self._max_lines - self._reserved if answered else self._max_lines
+        )
+        if self._count >= max_lines:
             self.omitted += 1
             return False
         self._count += 1
         return True
 
     def take_omitted(self) -> int:
-        """Return how many lines were left out since the last call."""
+        """Return how many lines were omitted since the last call."""
         omitted, self.omitted = self.omitted, 0
         return omitted
 
 
 class BoundedHandler(logging.Handler):
-    """Writes lines to a descriptor without ever waiting for its reader.
+    """Writes lines to a file descriptor without blocking on its reader.
 
-    A reader that stops would otherwise stop the loop, and with it every
-    request, at the moment at which someone looks for what is wrong.
+    Otherwise a reader that stops would block the loop, and with it every
+    request, while an operator is investigating a fault.
 
     Parameters
     ----------
     descriptor : int
-        Where to write; made non-blocking.
-    bound : LineRateLimit
-        How many lines.
+        File descriptor to write to; made non-blocking.
+    rate_limit : LineRateLimit
+        Limits the number of lines.
     """
 
-    def __init__(self, descriptor: int, bound: LineRateLimit) -> None:
+    def __init__(self, descriptor: int, rate_limit: LineRateLimit) -> None:
         super().__init__()
         self._descriptor = descriptor
-        self._bound = bound
+        self._rate_limit = rate_limit
         self._lines: collections.deque[bytes] = collections.deque()
         self._bytes = 0
-        self._told_at = 0.0
+        self._omitted_logged_at = 0.0
         with contextlib.suppress(OSError):
             os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a line, keep it for later, or leave it out."""
+        """Write a line, queue it, or omit it."""
         now = time.monotonic()
-        plain = getattr(record, "outcome", "") == "answered"
-        if self._bound.admit(plain, now):
-            self._keep(self.format(record))
-        self._tell_omitted(now)
+        answered = getattr(record, "outcome", "") == "answered"
+        if self._rate_limit.admit(answered, now):
+            self._enqueue(self.format(record))
+        self._log_omitted(now)
         self._flush()
 
-    def _keep(self, line: str) -> None:
+    def _enqueue(self, line: str) -> None:
         data = line.encode() + b"\n"
         if (
-            len(self._lines) >= _WAITING_LINES
-            or self._bytes + len(data) > _WAITING_BYTES
+            len(self._lines) >= _MAX_QUEUED_LINES
+            or self._bytes + len(data) > _MAX_QUEUED_BYTES
         ):
-            self._bound.omitted += 1
+            self._rate_limit.omitted += 1
             return
         self._lines.append(data)
         self._bytes += len(data)
 
-    def _tell_omitted(self, now: float) -> None:
-        if not self._bound.omitted or now - self._told_at < 1.0:
+    def _log_omitted(self, now: float) -> None:
+        if not self._rate_limit.omitted or now - self._omitted_logged_at < 1.0:
             return
-        self._told_at = now
+        self._omitted_logged_at = now
         definition = Event.OMITTED.value
         record = logging.LogRecord(
             "sedgetide", definition.level, "", 0, definition.name, (), None
         )
-        record.lines = self._bound.take_omitted()
+        record.lines = self._rate_limit.take_omitted()
         LOG_LINES_OMITTED.inc(record.lines)
-        self._keep(self.format(record))
+        self._enqueue(self.format(record))
 
     def _flush(self) -> None:
         while self._lines:
@@ -162,7 +167,7 @@
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
-                # Nobody will ever read it.
+                # The reader is gone for good.
                 self._lines.clear()
                 self._bytes = 0
                 return
@@ -173,13 +178,13 @@
             self._lines.popleft()
 
     def close(self) -> None:
-        """Write what still can be written."""
+        """Write the queued lines that can be written without blocking."""
         self._flush()
         super().close()
 
 
 def make_formatter(host: str, program: str) -> logging.Formatter:
-    """Return the formatter of all daemons."""
+    """Return the log formatter of all daemons."""
     return JsonFormatter(
         ["asctime", "levelname", "message"],
         rename_fields={
@@ -193,7 +198,7 @@
 
 
 def configure_logging(level: str, host: str, program: str) -> None:
-    """Send all logs to standard output as key=value lines."""
+    """Write all logs to standard output as logfmt lines."""
     handler = BoundedHandler(sys.stdout.fileno(), LineRateLimit())
     handler.setFormatter(make_formatter(host, program))
     logging.basicConfig(level=level, handlers=[handler], force=True)
--- a/tests/daemons/test_deadly_requests.py
+++ b/tests/daemons/test_deadly_requests.py
@@ -1,4 +1,4 @@
-"""A request that ends each upstream that runs it, against real processes."""
+"""Tests of a request that crashes every upstream, with real processes."""
 
 import http.client
 import itertools
@@ -17,28 +17,28 @@
 from sedgetide.testing.soakfleet import HOST
 
 DEADLY = "/archive/deadly"
-# Seconds; within them a decision of one host is known to all others.
-KNOWN_WITHIN = 3.0
-# Losses that it may take to know a request for what it is.
+# Seconds within which a decision of one host reaches all others.
+QUARANTINED_WITHIN = 3.0
+# Losses after which a deadly request must be quarantined.
 LOSSES = 3
-# Sends of a request that is known, over all hosts and its whole life.
-MOST_SENDS = 3
-_ASK_EVERY = 0.4
-_ASKED_FOR = 14.0
-# Copies at each host in the same moment, and how often.
+# Most sends of a quarantined request, over all hosts and its lifetime.
+MAX_SENDS = 3
+_REQUEST_INTERVAL = 0.4
+_DURATION = 14.0
+# Copies sent to each host at the same moment, and the number of rounds.
 _COPIES = 3
 _ROUNDS = 3
-# Milliseconds; an upstream that has crashed is not back as soon.
-_IMPATIENT = 700
+# Deadline in milliseconds; a crashed upstream takes longer to restart.
+_SHORT_DEADLINE_MS = 700
 # Seconds; no other refusal has a longer Retry-After.
-_STAY_SEEN = 60.0
-# Seconds; the leader writes within a tick of its loop.
-_WRITTEN = 1.5
-_KEPT = pathlib.Path("build")
+_MIN_STAY_RETRY_AFTER = 60.0
+# Seconds; the leader writes within one iteration of its loop.
+_WRITTEN_WITHIN = 1.5
+_SAVED_OUTPUT = pathlib.Path("build")
 
 
 class Reply(msgspec.Struct):
-    """What the caller of one attempt saw."""
+    """Result of one attempt as its caller sees it."""
 
     at: float
     seconds: float
@@ -47,7 +47,7 @@
 
 
 def exchange(port, path, number, source, deadline_ms):
-    """Send a request from an address; blocks."""
+    """Send a request from a source address; blocks the thread."""
     headers = {
         "Host": HOST,
         _names.REQUEST_ID: number,
@@ -72,31 +72,31 @@
 
 
 class TestDeadlyRequest(testtools.TestCase):
-    """One caller repeats, at one host after the other, a read that crashes.
+    """A caller repeats a read that crashes upstreams, using all hosts in turn.
 
-    The first upstream to run it ends, and the host sends it to the second,
-    which ends too; both are back a second later, and the caller comes again
-    at another host with another id. Each host judged each attempt for itself:
-    25 runs in 14 s, 18 of them later than 3 s after the third loss. The log
-    line of the first has `status=502 outcome=unknown failures=broken,broken`,
+    The first upstream to run it crashes, and the host's retry crashes the
+    second; both restart within a second, and the caller repeats the request
+    at another host with another id. When each host decided on its own, there
+    were 25 runs in 14 s, 18 of them later than 3 s after the third loss. The
+    first request logs `status=502 outcome=unknown failures=broken,broken`,
     after two lines `upstream-ended proof=refused`.
     """
 
     def setUp(self):
         super().setUp()
         folder = pathlib.Path(self.enterContext(tempfile.TemporaryDirectory()))
-        self.addOnException(lambda _: self.keep(folder))
+        self.addOnException(lambda _: self.save_output(folder))
         self.fleet = Fleet(folder, 0.0, crash_on=DEADLY)
         self.addCleanup(self.fleet.close)
         self.fleet.start()
         self.numbers = itertools.count()
 
-    def keep(self, folder):
-        """Keep the output of all processes of a run that failed."""
-        shutil.copytree(folder, _KEPT / self.id(), dirs_exist_ok=True)
+    def save_output(self, folder):
+        """Save the output of all processes of a failed test."""
+        shutil.copytree(folder, _SAVED_OUTPUT / self.id(), dirs_exist_ok=True)
 
     def ask(self, path, host, source="127.0.0.1", deadline_ms=1500):
-        """Send an attempt to a host and return what its caller saw."""
+        """Send an attempt to a host and return its result."""
         number = f"{path.rpartition('/')[2]}-{next(self.numbers)}"
         threads = gevent.get_hub().threadpool
         return threads.apply(
@@ -104,107 +104,115 @@
         )
 
     def repeat(self, seconds, sources=("127.0.0.1",)):
-        """Ask again and again, each time at another host."""
+        """Repeat the request for some seconds, each time at another host."""
         replies = []
         hosts = itertools.cycle(self.fleet.hosts)
         sources = itertools.cycle(sources)
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             replies.append(self.ask(DEADLY, next(hosts), next(sources)))
-            gevent.sleep(_ASK_EVERY)
+            gevent.sleep(_REQUEST_INTERVAL)
         return replies
 
     def list_runs(self):
-        """Return when the request was begun, by any upstream."""
+        """Return the times at which upstreams began to run the request."""
         return [
             event.at
             for event in self.fleet.read_events()
             if event.kind == "begin" and event.request.startswith("deadly")
         ]
 
-    def test_it_is_known_after_three_losses_at_all_hosts(self):
-        self.check_known(["127.0.0.1"])
+    def test_it_is_quarantined_at_all_hosts_after_three_losses(self):
+        self.check_quarantined(["127.0.0.1"])
 
-    def test_it_is_known_from_whichever_address_it_comes(self):
-        # Guards against a judgement for each address that a caller comes from.
-        self.check_known([f"127.0.0.{number}" for number in range(2, 60)])
+    def test_it_is_quarantined_whichever_address_it_comes_from(self):
+        # Guards against a quarantine that depends on the caller's address.
+        self.check_quarantined(
+            [f"127.0.0.{number}" for number in range(2, 60)]
+        )
 
-    def check_known(self, sources):
+    def check_quarantined(self, sources):
         supervisor = gevent.spawn(self.fleet.supervise)
         self.addCleanup(supervisor.kill)
-        replies = self.repeat(_ASKED_FOR, sources)
+        replies = self.repeat(_DURATION, sources)
         runs = self.list_runs()
         self.assertGreaterEqual(len(runs), LOSSES, replies)
-        late = [at for at in runs if at > runs[LOSSES - 1] + KNOWN_WITHIN]
-        self.assertLessEqual(len(late), MOST_SENDS, runs)
+        late = [
+            at for at in runs if at > runs[LOSSES - 1] + QUARANTINED_WITHIN
+        ]
+        self.assertLessEqual(len(late), MAX_SENDS, runs)
         last = replies[-3:]
         self.assertEqual([503] * 3, [reply.status for reply in last])
         for reply in last:
             self.assertGreater(reply.retry_after, 1.0)
             self.assertLess(reply.seconds, 0.2)
-        # What it did not ask for is served as ever.
+        # Other requests are still served.
         statuses = [
             self.ask("/archive/x", host).status for host in self.fleet.hosts
         ]
         self.assertEqual([200] * 3, statuses)
 
     def test_copies_sent_at_once_end_few_upstreams(self):
-        # Guards against runs that crash by the dozen under one loss.
+        # Guards against dozens of crashing runs while only one loss is known.
         supervisor = gevent.spawn(self.fleet.supervise)
         self.addCleanup(supervisor.kill)
         for _ in range(_ROUNDS):
             copies = [
-                gevent.spawn(self.ask, DEADLY, host, deadline_ms=_IMPATIENT)
+                gevent.spawn(
+                    self.ask, DEADLY, host, deadline_ms=_SHORT_DEADLINE_MS
+                )
                 for host in self.fleet.hosts * _COPIES
             ]
             gevent.joinall(copies)
-            gevent.sleep(KNOWN_WITHIN + _ASK_EVERY)
+            gevent.sleep(QUARANTINED_WITHIN + _REQUEST_INTERVAL)
         runs = self.list_runs()
-        late = [at for at in runs if at > runs[LOSSES - 1] + KNOWN_WITHIN]
-        self.assertLessEqual(len(late), MOST_SENDS, runs)
+        late = [
+            at for at in runs if at > runs[LOSSES - 1] + QUARANTINED_WITHIN
+        ]
+        self.assertLessEqual(len(late), MAX_SENDS, runs)
         self.assertEqual(503, self.ask(DEADLY, self.fleet.hosts[0]).status)
 
-    def make_known(self):
-        """Repeat the request until hosts refuse it; return its last reply."""
+    def get_quarantined(self):
+        """Repeat the request until it is quarantined; return that reply."""
         supervisor = gevent.spawn(self.fleet.supervise)
         self.addCleanup(supervisor.kill)
-        with gevent.Timeout(_ASKED_FOR):
+        with gevent.Timeout(_DURATION):
             while True:
                 for host in self.fleet.hosts:
                     reply = self.ask(DEADLY, host)
-                    if reply.retry_after > _STAY_SEEN:
+                    if reply.retry_after > _MIN_STAY_RETRY_AFTER:
                         return reply
-                    gevent.sleep(_ASK_EVERY)
+                    gevent.sleep(_REQUEST_INTERVAL)
 
-    def test_it_is_known_after_all_hosts_were_lost_at_once(self):
-        """It is refused, then all hosts are killed and start with nothing.
+    def test_it_stays_quarantined_after_all_hosts_were_lost_at_once(self):
+        """All hosts are killed and restart while a request is quarantined.
 
-        Only the store has outlived them. The caller comes again as soon as
-        one listens, and would take three more upstreams.
+        Only the store keeps the quarantine. Without it, the caller's repeats
+        would crash three more upstreams.
         """
-        self.make_known()
-        gevent.sleep(_WRITTEN)
+        self.get_quarantined()
+        gevent.sleep(_WRITTEN_WITHIN)
         runs = self.list_runs()
         for host in self.fleet.hosts:
             host.program.close()
         for host in self.fleet.hosts:
             host.program.start()
-        with gevent.Timeout(_ASKED_FOR):
+        with gevent.Timeout(_DURATION):
             while not all(host.is_ready() for host in self.fleet.hosts):
                 gevent.sleep(0.1)
         for host in self.fleet.hosts:
             reply = self.ask(DEADLY, host)
             self.assertEqual(503, reply.status)
-            self.assertGreater(reply.retry_after, _STAY_SEEN)
+            self.assertGreater(reply.retry_after, _MIN_STAY_RETRY_AFTER)
         self.assertEqual(runs, self.list_runs())
 
     def test_operator_lifts_it_at_one_host_for_all(self):
-        # The operators have mended the upstreams and will not wait for the
-        # end of the stay.
-        self.make_known()
+        # The operators have fixed the upstreams and do not wait until the
+        # stay ends.
+        self.get_quarantined()
         runs = self.list_runs()
         first, *_, last = self.fleet.hosts
-        gevent.sleep(_WRITTEN)
+        gevent.sleep(_WRITTEN_WITHIN)
         state = msgspec.json.decode(
             call(first.admin_port, "GET", "/state").body
         )
@@ -212,6 +220,6 @@
         path = f"/quarantine/{fingerprint}/lift"
         self.assertEqual(200, call(first.admin_port, "POST", path).status)
         self.assertEqual(404, call(first.admin_port, "POST", path).status)
-        gevent.sleep(_WRITTEN)
+        gevent.sleep(_WRITTEN_WITHIN)
         self.ask(DEADLY, last)
         self.assertGreater(len(self.list_runs()), len(runs))
--- a/tests/daemons/test_logs.py
+++ b/tests/daemons/test_logs.py
@@ -1,4 +1,4 @@
-"""Tests of the logs: bounded, never in the way, and documented."""
+"""Tests of the logs: limited in number, non-blocking and documented."""
 
 import logging
 import os
@@ -18,28 +18,28 @@
 
 
 class TestFormat(testtools.TestCase):
-    """Values that hold spaces or quotes stay one value."""
+    """Values with spaces or quotes are quoted."""
 
     def test_pairs(self):
         line = format_logfmt({"event": "a b", "n": 3, "q": 'x"\n', "e": ""})
         self.assertEqual('event="a b" n=3 q="x\\"\\n" e=""', line)
 
 
-class TestLineBound(testtools.TestCase):
-    """Answered requests are left out first."""
+class TestLineRateLimit(testtools.TestCase):
+    """Lines of answered requests are omitted first."""
 
     def test_failures_are_kept_before_successes(self):
-        bound = LineRateLimit(10, 4)
-        kept = [bound.admit(True, 5.0) for _ in range(20)]
+        rate_limit = LineRateLimit(10, 4)
+        kept = [rate_limit.admit(True, 5.0) for _ in range(20)]
         self.assertEqual(6, sum(kept))
-        kept = [bound.admit(False, 5.1) for _ in range(20)]
+        kept = [rate_limit.admit(False, 5.1) for _ in range(20)]
         self.assertEqual(4, sum(kept))
-        self.assertEqual(30, bound.take_omitted())
-        self.assertTrue(bound.admit(True, 6.0))
+        self.assertEqual(30, rate_limit.take_omitted())
+        self.assertTrue(rate_limit.admit(True, 6.0))
 
 
 class TestBoundedHandler(testtools.TestCase):
-    """The loop goes on whatever the reader of the lines does."""
+    """Writing never blocks, whatever the reader does."""
 
     def setUp(self):
         super().setUp()
@@ -64,13 +64,13 @@
             data += block
 
     def test_reader_that_stops(self):
-        # Whoever reads the output stops reading. The pipe fills up; a
-        # blocking write would now stop every request of the host.
+        # The reader stops and the pipe fills up. Guards against a blocking
+        # write, which would stop every request of the host.
         self.emit(20_000)
         first = self.read_all()
         self.assertIn(b"line 0", first)
-        # It reads again: whole lines go on, what was left out is counted.
-        self.handler._told_at = 0.0
+        # It reads again: lines are complete, and omitted ones are counted.
+        self.handler._omitted_logged_at = 0.0
         while True:
             self.emit(1)
             more = self.read_all()
@@ -87,7 +87,7 @@
 
 
 class TestVocabulary(testtools.TestCase):
-    """Events and fields are those of the page."""
+    """Events and fields match the documentation page."""
 
     def test_page_is_up_to_date(self):
         self.assertEqual(make_page(), PAGE.read_text())
--- a/tests/daemons/test_path.py
+++ b/tests/daemons/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path with real processes against the stand-ins."""
+"""Tests of the request path, with real processes and simulated upstreams."""
 
 import json
 import pathlib
@@ -80,8 +80,8 @@
         self.assertEqual(431, answer.status)
 
     def test_body_that_ends_early_is_not_passed_on(self):
-        # The caller is cut off half way through an alert. Half of it must
-        # not reach the upstream as the whole.
+        # The caller disconnects half way through an alert. Guards against
+        # forwarding the truncated body as a complete one.
         entry = self.fleet.entries["sala-milano-1"]
         address = split_address(entry.settings["listen"])
         peer = socket.create_connection(address, timeout=10.0)
--- a/tests/daemons/test_pushback.py
+++ b/tests/daemons/test_pushback.py
@@ -1,4 +1,4 @@
-"""Upstreams that ask something of their senders, as real processes."""
+"""Tests of upstreams that apply pushback, with real processes."""
 
 import collections
 import pathlib
@@ -24,8 +24,8 @@
 
 CALLERS = 14
 KEYED, PLAIN = 0, 4
-# Seconds after the start of an upstream.
-SAID_AT = 4.0
+# Seconds after the start of an upstream from which on it applies pushback.
+PUSHBACK_AT = 4.0
 # Requests a second.
 LIMITS = {KEYED: 2.2, PLAIN: 1.3}
 LIMITED_FOR = 15.0
@@ -33,35 +33,41 @@
 BACKOFF_FOR = 12.0
 # Seconds.
 MOVED_WITHIN = 1.0
-# Until a limit counts as lasting, and for some rounds of moves.
+# Seconds until a limit counts as lasting, and for some rounds of moves.
 BALANCED_WITHIN = 7.0
-# Status and note of a request that found no room at its owner.
+# Status and note of a request whose owner had no room.
 FULL = ("503", "window")
 _REASON = re.compile(r" status=(\d+) .* note=(\S*)")
-_KEPT = pathlib.Path("build")
+_SAVED_OUTPUT = pathlib.Path("build")
 
 
 class PushbackTest(testtools.TestCase):
-    """Fleet of two upstreams, one with keys, that say the same."""
+    """Fleet with two upstreams that apply pushback, one of them with keys."""
 
-    def start(self, words):
-        """Start a fleet whose two upstreams say some words from a time on."""
+    def start(self, pushback):
+        """Start a fleet whose two upstreams apply pushback after a while.
+
+        Parameters
+        ----------
+        words : dict of int to list of str
+            Pushback of each upstream, by its number.
+        """
         folder = pathlib.Path(self.enterContext(tempfile.TemporaryDirectory()))
-        self.addOnException(lambda _: self.keep(folder))
+        self.addOnException(lambda _: self.save_output(folder))
         says = {
-            number: [f"{SAID_AT}:{word}" for word in words[number]]
-            for number in words
+            number: [f"{PUSHBACK_AT}:{item}" for item in pushback[number]]
+            for number in pushback
         }
         self.fleet = Fleet(folder, 0.0, says=says)
         self.addCleanup(self.fleet.close)
         self.fleet.start()
 
-    def keep(self, folder):
-        """Keep the output of all processes of a run that failed."""
-        shutil.copytree(folder, _KEPT / self.id(), dirs_exist_ok=True)
+    def save_output(self, folder):
+        """Save the output of all processes of a failed test."""
+        shutil.copytree(folder, _SAVED_OUTPUT / self.id(), dirs_exist_ok=True)
 
-    def play(self, seconds):
-        """Have callers ask for a while."""
+    def run_callers(self, seconds):
+        """Run all callers for some seconds."""
         callers = [Caller(each, self.fleet, 1) for each in range(CALLERS)]
         tasks = [gevent.spawn(each.run) for each in callers]
         gevent.sleep(seconds)
@@ -71,7 +77,7 @@
         self.assertEqual([], find_ignored(self.events, self.asked))
 
     def find_reason(self, number):
-        """Return the status of a request and why it was refused."""
+        """Return the status and the note that a request was logged with."""
         for host in self.fleet.hosts:
             for line in host.program.output.read_text().splitlines():
                 if f" id={number} " in line and "event=request " in line:
@@ -79,7 +85,7 @@
         return None
 
     def count_arrived(self):
-        """Return the requests that reached each upstream with a script."""
+        """Count the requests that reached each upstream with pushback."""
         return collections.Counter(
             each.upstream for each in self.events if each.kind == ARRIVED
         )
@@ -87,22 +93,23 @@
 
 class TestLimit(PushbackTest):
     def test_hosts_together_keep_to_a_named_limit(self):
-        # Guards against a limit that nobody keeps, or each host on its own.
+        # Guards against a limit that is ignored, or that each host applies on
+        # its own.
         self.start({each: [f"limit:{LIMITS[each]}"] for each in LIMITS})
-        self.play(LIMITED_FOR)
-        words = [each for each in self.events if LIMIT in each.said]
-        counts = collections.Counter(each.upstream for each in words)
-        self.assertGreater(self.count_arrived().total(), len(words))
+        self.run_callers(LIMITED_FOR)
+        pushback = [each for each in self.events if LIMIT in each.said]
+        counts = collections.Counter(each.upstream for each in pushback)
+        self.assertGreater(self.count_arrived().total(), len(pushback))
         self.assertEqual(len(LIMITS), len(counts), counts)
         for upstream, count in counts.items():
             limit = LIMITS[int(upstream.split("-")[1])]
-            span = words[-1].at - words[0].at
+            span = pushback[-1].at - pushback[0].at
             self.assertGreater(count, 0.5 * limit * span, upstream)
 
     def test_keys_move_from_an_upstream_whose_limit_lasts(self):
-        # Guards against keys that are refused for as long as the limit lasts.
+        # Guards against keys whose requests are refused while the limit lasts.
         self.start({KEYED: [f"limit:{LIMITS[KEYED]}"]})
-        self.play(LIMITED_FOR)
+        self.run_callers(LIMITED_FOR)
         first = min(each.at for each in self.events if LIMIT in each.said)
         late = [ask for ask in self.asked if ask.at > first + BALANCED_WITHIN]
         served = sum(1 for ask in late if ask.status == 200)
@@ -113,12 +120,13 @@
 
 
 class TestLeaving(PushbackTest):
-    def test_word_of_leaving_binds_while_the_store_is_away(self):
-        # Guards against sends to an upstream that only its answers tell of.
+    def test_announcement_of_leaving_holds_while_the_store_is_away(self):
+        # Guards against sending to an upstream whose announcement is known
+        # only from its answers.
         self.start({KEYED: ["leaving:1"], PLAIN: ["leaving:1"]})
         for host in self.fleet.hosts:
             host.store.mode = Mode.CUT
-        self.play(LEAVING_FOR)
+        self.run_callers(LEAVING_FOR)
         told = {
             each.upstream
             for each in self.events
@@ -127,9 +135,10 @@
         self.assertEqual(2, len(told))
 
     def test_keys_move_from_an_upstream_that_leaves(self):
-        # Guards against keys that stay with it until the store knows.
+        # Guards against keys that do not move until the store has the
+        # announcement.
         self.start({KEYED: ["leaving:1"]})
-        self.play(LEAVING_FOR)
+        self.run_callers(LEAVING_FOR)
         moved = (
             max(each.at for each in self.events if LEAVING in each.said)
             + MOVED_WITHIN
@@ -139,7 +148,7 @@
         late = [ask for ask in late if ask.at < ended]
         refused = [ask.number for ask in late if ask.status != 200]
         self.assertLess(len(refused), 0.1 * len(late))
-        # Three upstreams are left of four, and may have no room at times.
+        # Three upstreams of four remain, and may have no room at times.
         self.assertLessEqual(
             {self.find_reason(number) for number in refused}, {FULL}
         )
@@ -147,10 +156,10 @@
 
 class TestBackoff(PushbackTest):
     def test_host_backs_off_for_as_long_as_it_was_asked(self):
-        # Guards against callers' repeats that reach whoever wants none.
+        # Guards against forwarding callers' retries to an upstream in backoff.
         self.start({KEYED: ["backoff:3"], PLAIN: ["backoff:2.5"]})
-        self.play(BACKOFF_FOR)
-        words = [each for each in self.events if BACKOFF in each.said]
-        self.assertEqual(2, len({each.upstream for each in words}))
+        self.run_callers(BACKOFF_FOR)
+        pushback = [each for each in self.events if BACKOFF in each.said]
+        self.assertEqual(2, len({each.upstream for each in pushback}))
         held = [ask.retry_after for ask in self.asked if ask.retry_after > 1.0]
         self.assertGreater(max(held, default=0.0), 2.0)
