--- a/sedgetide/daemons/_deployment.py
+++ b/sedgetide/daemons/_deployment.py
@@ -169,19 +169,19 @@
         """
         self.hosts = max(self.hosts or 0, hosts)
 
-    def set_lenders(self, named: LenderList) -> None:
+    def set_lenders(self, lenders: LenderList) -> None:
         """Set the hosts that lend places at upstreams, named by the leader.
 
         The list stays valid after the leader is lost, as hosts don't ask
         lenders that don't respond.
         """
-        if named == self.lenders:
+        if lenders == self.lenders:
             return
-        self.lenders = named
+        self.lenders = lenders
         log_event(
             Event.LENDERS,
-            lenders=",".join(each.link for each in named.hosts),
-            version=named.version,
+            lenders=",".join(each.link for each in lenders.hosts),
+            version=lenders.version,
         )
 
     def record_sync(self, as_of: Position, heard_at: float) -> None:
@@ -517,8 +517,8 @@
         return None if known is None else known.table
 
     @property
-    def complete(self) -> bool:
-        """Whether requests can be routed."""
+    def can_route(self) -> bool:
+        """Whether the policy and the tables of all keyed services are known."""
         if self.policy is None:
             return False
         return all(
--- a/sedgetide/daemons/_evacuationcoordinator.py
+++ b/sedgetide/daemons/_evacuationcoordinator.py
@@ -43,7 +43,7 @@
         owners: set[IncarnationName],
         now: float,
     ) -> int:
-        """Return how many more ranges may start to move off their owners.
+        """Return how many more ranges of evacuated owners may start to move.
 
         Parameters
         ----------
--- a/sedgetide/daemons/_feed.py
+++ b/sedgetide/daemons/_feed.py
@@ -28,6 +28,7 @@
 # Seconds; hosts don't rely on a leader whose state is older than this, as they
 # can get state at least as recent from the store themselves.
 _MAX_AGE = 4.0
+# Seconds; an age above the maximum tells a host to watch the store itself.
 FEED_ENDED_AGE = 1e9
 # Sending a larger item to each of many hosts would saturate the leader's link.
 _LARGE_ITEM_BYTES = 32 * 1024
--- a/sedgetide/daemons/_leader.py
+++ b/sedgetide/daemons/_leader.py
@@ -84,8 +84,8 @@
     only after the store has acknowledged the table, so the next leader
     finds everything that may have been ordered in the store.
 
-    A range's owner at a fencing token is a :class:`Tenure`; a range that
-    changes its owner is a move.
+    A :class:`Tenure` is the ownership of a range at one fencing token; a
+    move transfers a range to another owner.
 
     Parameters
     ----------
@@ -427,14 +427,14 @@
                 [(each.name, each.slots) for each in active]
             )
         completed = self._executor.list_completed(service)
-        joined = table.complete(completed).merge()
-        moves = self._plan_moves(service, joined, active, balance, now)
+        merged = table.complete(completed).merge()
+        moves = self._plan_moves(service, merged, active, balance, now)
         overdue = (
             completed
             and now - self._completions_written_at > _MAX_RECORD_DELAY
         )
         if moves or overdue:
-            table = joined
+            table = merged
             self._completions_written_at = now
         if moves:
             log_event(
@@ -510,8 +510,8 @@
     ) -> float:
         """Return an upstream's current capacity in slots.
 
-        A cold or rate-limited upstream has the capacity that its request
-        rate takes up.
+        The capacity of a cold or rate-limited upstream is the mean number
+        of slots that requests at its permitted rate occupy.
         """
         rates = (
             self._deployment.find_cold_rate(upstream, now),
--- a/sedgetide/daemons/_loadreporter.py
+++ b/sedgetide/daemons/_loadreporter.py
@@ -1,4 +1,4 @@
-"""Reports of the load of this host's requests to the leader."""
+"""Measures the load of this host's requests and reports it to the leader."""
 
 import contextlib
 from typing import Protocol
--- a/sedgetide/daemons/_orderclient.py
+++ b/sedgetide/daemons/_orderclient.py
@@ -90,8 +90,8 @@
     second later; until then a restart shows only in the connections.
     ``session`` counts possible restarts: the upstream refused a connection,
     or closed all that were open. A process that ends closes its connections
-    before its successor accepts one, so by the time a new connection is
-    open a restart before it has been detected.
+    before its successor accepts one. So once a new connection is open, this
+    host can tell whether it leads to a restarted process.
 
     Parameters
     ----------
@@ -248,8 +248,8 @@
         if connection not in self._opened:
             if kept:
                 self._note_closed()
-            # Another order may be about to use a connection that has been
-            # closed without its noticing.
+            # Another order may hold a connection that has been closed, and
+            # may not have noticed it yet.
             for other in self._in_use:
                 if other.ended:
                     self._note_closed(other)
@@ -277,11 +277,11 @@
     def _reconnect(self, ended: Connection, sent_at: float) -> None:
         """Replace a connection that the upstream announced to close.
 
-        Otherwise no open connection would show a restart before the next
-        order. A connection opened within a tenth of a second of the last
-        order leads to the same process, as none restarts that fast. The
-        clock is read after the connection is open, since this process may
-        have been paused before.
+        By the next order, a restarted process may listen at the address, and
+        no open connection would show it. A connection opened within a tenth
+        of a second of the last order leads to the process that answered, as
+        none restarts that fast. The clock is read after the connection is
+        open, since this process may have been paused before.
 
         Parameters
         ----------
--- a/sedgetide/daemons/_orderexecutor.py
+++ b/sedgetide/daemons/_orderexecutor.py
@@ -31,7 +31,7 @@
 # Seconds; a timeout of zero would cancel the release before it is sent.
 _MIN_RELEASE_TIMEOUT = 0.01
 _GRANT_ATTEMPTS = 3
-# About the grants of two tables with 24 ranges for each of 300 upstreams.
+# Enough for the grants of two tables with 24 ranges for each of 300 upstreams.
 _MAX_SESSIONS = 16_000
 
 
@@ -163,8 +163,8 @@
 
     def note_written(self, service: ServiceName, table: RangeTable) -> None:
         """Drop completed moves that the written table has applied."""
-        ended = self.list_completed(service)
-        self._completed[service] = ended.intersection(table.tenures)
+        completed = self.list_completed(service)
+        self._completed[service] = completed.intersection(table.tenures)
         if len(self._sessions) > _MAX_SESSIONS:
             self._prune_sessions()
 
@@ -187,8 +187,8 @@
         moving = set(table.list_moving())
         for tenure in moving:
             move_key = (service, tenure)
-            stopped = tenure in self.list_completed(service)
-            if move_key not in self._moves and not stopped:
+            completed = tenure in self.list_completed(service)
+            if move_key not in self._moves and not completed:
                 self._moves[move_key] = gevent.spawn(
                     self._move, service, tenure
                 )
@@ -242,7 +242,7 @@
                 self._log_owner_stopped(service, tenure, "ended", now - began)
                 return ""
             end = self._find_hold_end(service, tenure)
-            # Waiting for an unanswered release past the end of the hold
+            # Waiting for the answer to a release past the end of the hold
             # would keep the keys unavailable for up to another 0.7 s.
             with gevent.Timeout(max(_MIN_RELEASE_TIMEOUT, end - now), False):
                 result = self._release(service, tenure)
@@ -257,7 +257,7 @@
     def _release(
         self, service: ServiceName, tenure: Tenure
     ) -> OrderResult | None:
-        """Release a range; return None unless its owner has stopped."""
+        """Release a range; return None if the owner may still hold it."""
         client = self._clients.find(tenure.owner)
         if client is None:
             return None
@@ -322,8 +322,8 @@
 
         def prepare() -> float | None:
             nonlocal restarted
-            # Checked after connecting, which takes up to half a second: a
-            # move doesn't wait for grants that haven't been sent.
+            # Connecting takes up to half a second. A move that begins
+            # meanwhile doesn't wait for a grant that hasn't been sent.
             if not self._is_current(service, tenure):
                 return None
             # A restarted upstream has seen no fence and would accept the keys
--- a/sedgetide/daemons/_recoverycoordinator.py
+++ b/sedgetide/daemons/_recoverycoordinator.py
@@ -74,8 +74,9 @@
         Returns
         -------
         RangeTable or None
-            Last known tenures at a fence above all of earlier eras; None
-            while an upstream may still hold keys granted in one of those.
+            Last known tenures, with a fence above all fences of earlier
+            eras; None while an upstream may still hold keys granted in one
+            of those eras.
         """
         known = self._deployment.find_table(service) or RangeTable()
         if self._term.era == FIRST_ERA:
--- a/sedgetide/daemons/host.py
+++ b/sedgetide/daemons/host.py
@@ -324,7 +324,7 @@
 
     def _handle_message(self, message: AnyMessage, sender: str) -> None:
         if isinstance(message, LoadReport):
-            self._take_report(message, LinkAddress(sender))
+            self._handle_report(message, LinkAddress(sender))
         elif isinstance(message, StoreFeed):
             self._feed.handle_feed(message, read_clock())
         elif isinstance(message, Moved):
@@ -338,13 +338,13 @@
         elif isinstance(message, AskTrial | EndTrial | TrialVerdict):
             self._trials.take(message, LinkAddress(sender))
 
-    def _take_report(self, report: LoadReport, link: LinkAddress) -> None:
+    def _handle_report(self, report: LoadReport, link: LinkAddress) -> None:
         now = read_clock()
         self._quarantine.note_report(link, report.standing.quarantine, now)
         self._leader.note_report(report, link, now)
 
     def _drop_message(self, message: Message) -> None:
-        """Drop an unsent message; the next load report supersedes it."""
+        """Ignore a message that wasn't sent; the next load report suffices."""
 
     def _is_fed(self) -> bool:
         return not self._leader.leading and self._feed.is_fresh(read_clock())
@@ -366,10 +366,10 @@
             self._transport.send(link, report)
 
     def _make_status(self) -> HostStatus:
-        own = self._settings.available_cores
+        cores = self._settings.available_cores
         return HostStatus(
             DataCentre(self._settings.data_centre),
-            0.0 if self._stopping else own,
+            0.0 if self._stopping else cores,
             self._deployment.lenders.version,
             self._deployment.quarantine.version,
         )
@@ -378,7 +378,7 @@
 
     def is_ready(self) -> bool:
         unready = self._stopping or self._withdrawn
-        return self._deployment.complete and not unready
+        return self._deployment.can_route and not unready
 
     def lift_quarantine(self, fingerprint: Fingerprint) -> bool:
         return self._quarantine.lift(fingerprint, read_clock())
--- a/tests/daemons/test_deployment.py
+++ b/tests/daemons/test_deployment.py
@@ -42,66 +42,66 @@
 
     def setUp(self):
         super().setUp()
-        self.known = DeploymentState(FakeRegistry())
+        self.deployment = DeploymentState(FakeRegistry())
 
     def list_items(self, era, *items):
         position = Position(era, 100)
-        self.known.apply_listing(Listing(list(items), position), 10.0)
-        self.known.record_sync(position, 10.0)
+        self.deployment.apply_listing(Listing(list(items), position), 10.0)
+        self.deployment.record_sync(position, 10.0)
 
     def test_older_table_of_the_backup_changes_nothing(self):
         # Guards against requests to former owners of keys.
         self.list_items(0, make_table(0, NEW, 0, 50))
         self.list_items(1, make_table(0, OLD, 1, 20))
-        self.assertEqual(NEW, self.known.find_table(SERVICE))
-        self.assertIsNone(self.known.find_table_in_era(SERVICE, 1))
+        self.assertEqual(NEW, self.deployment.find_table(SERVICE))
+        self.assertIsNone(self.deployment.find_table_in_era(SERVICE, 1))
 
     def test_table_of_the_backup_is_a_hint_to_hosts_that_start(self):
         self.list_items(1, make_table(0, OLD, 1, 20))
-        self.assertEqual(OLD, self.known.find_table(SERVICE))
-        self.assertIsNone(self.known.find_table_in_era(SERVICE, 1))
+        self.assertEqual(OLD, self.deployment.find_table(SERVICE))
+        self.assertIsNone(self.deployment.find_table_in_era(SERVICE, 1))
 
-    def test_table_of_the_era_counts_whatever_its_revision(self):
+    def test_table_of_the_new_era_is_used_whatever_its_revision(self):
         self.list_items(0, make_table(0, NEW, 0, 50))
         self.list_items(
             1, make_table(0, OLD, 1, 60), make_table(1, FIRST, 1, 30)
         )
-        self.assertEqual(FIRST, self.known.find_table_in_era(SERVICE, 1))
-        self.assertEqual(FIRST, self.known.find_table(SERVICE))
+        self.assertEqual(FIRST, self.deployment.find_table_in_era(SERVICE, 1))
+        self.assertEqual(FIRST, self.deployment.find_table(SERVICE))
 
     def test_leader_of_an_earlier_era_is_ignored(self):
         # Guards against hosts that report to the former leader and so never
         # elect another.
         record = Item(make_leader_key(0), Position(0, 5), LEADER)
         self.list_items(0, record)
-        self.known.note_era(1, 9.0)
-        self.assertIsNone(self.known.leader)
-        self.assertFalse(self.known.has_listed_era)
+        self.deployment.note_era(1, 9.0)
+        self.assertIsNone(self.deployment.leader)
+        self.assertFalse(self.deployment.has_listed_era)
         self.list_items(1, Item(make_leader_key(0), Position(1, 5), LEADER))
-        self.assertIsNone(self.known.leader)
-        self.assertTrue(self.known.has_listed_era)
+        self.assertIsNone(self.deployment.leader)
+        self.assertTrue(self.deployment.has_listed_era)
         gone = Item(make_leader_key(0), Position(1, 102), None)
         found = Item(make_leader_key(1), Position(1, 101), LEADER)
-        self.known.apply_items([found, gone], 11.0)
-        self.assertEqual("h-1", self.known.leader.record.host)
+        self.deployment.apply_items([found, gone], 11.0)
+        self.assertEqual("h-1", self.deployment.leader.record.host)
 
     def test_quarantine_has_to_be_written_again(self):
         # Guards against stays in quarantine that are lost when all hosts are
         # restarted, since they weren't written in the new era.
         record = Item(make_quarantine_key(0), Position(0, 5), b"{}")
         self.list_items(0, record)
-        self.known.note_era(1, 9.0)
-        position = self.known.recorded_quarantine.position
+        self.deployment.note_era(1, 9.0)
+        position = self.deployment.recorded_quarantine.position
         self.assertEqual(NO_POSITION, position)
         self.list_items(1, Item(make_quarantine_key(0), Position(1, 5), b"{}"))
-        position = self.known.recorded_quarantine.position
+        position = self.deployment.recorded_quarantine.position
         self.assertEqual(NO_POSITION, position)
 
     def test_registrations_end_some_seconds_after_the_restore(self):
         self.list_items(0)
-        self.known.note_era(1, 9.0)
+        self.deployment.note_era(1, 9.0)
         self.list_items(1)
-        self.assertEqual(11.3, self.known.find_reregistration_end())
+        self.assertEqual(11.3, self.deployment.find_reregistration_end())
 
 
 class Registry(FakeRegistry):
@@ -122,14 +122,14 @@
 
     def setUp(self):
         super().setUp()
-        self.known = DeploymentState(Registry(), Evacuations(5.0))
+        self.deployment = DeploymentState(Registry(), Evacuations(5.0))
         self.revision = 0
 
     def write(self, now, key, value, era=0):
         self.revision += 1
         position = Position(era, self.revision)
-        self.known.apply_items([Item(key, position, value)], now)
-        self.known.record_sync(position, now)
+        self.deployment.apply_items([Item(key, position, value)], now)
+        self.deployment.record_sync(position, now)
 
     def restore_store(self, now, **items):
         """Let the host list the items of a backup."""
@@ -139,12 +139,12 @@
             Item(key.replace("_", "/"), position, value)
             for key, value in items.items()
         ]
-        self.known.note_era(1, now)
-        self.known.apply_listing(Listing(shown, position), now)
-        self.known.record_sync(position, now)
+        self.deployment.note_era(1, now)
+        self.deployment.apply_listing(Listing(shown, position), now)
+        self.deployment.record_sync(position, now)
 
     def list_active(self):
-        found = self.known.directory.list_active(SERVICE)
+        found = self.deployment.directory.list_active(SERVICE)
         return sorted(each.name for each in found)
 
     def test_upstream_that_leaves_is_not_ready_again(self):
@@ -155,7 +155,7 @@
         self.assertEqual([], self.list_active())
         self.write(6.0, "u1", READY, era=1)
         self.assertEqual([], self.list_active())
-        self.assertEqual(["u1"], self.known.directory.list_announced())
+        self.assertEqual(["u1"], self.deployment.directory.list_announced())
 
     def test_withdrawn_upstream_is_not_active_again(self):
         # Guards against requests to an upstream that removed its entry.
@@ -164,7 +164,7 @@
         self.restore_store(5.0, u1=READY)
         self.assertEqual([], self.list_active())
         self.write(6.5, "u1", None, era=1)
-        self.assertIsNone(self.known.directory.find("u1"))
+        self.assertIsNone(self.deployment.directory.find("u1"))
 
     def test_upstream_that_writes_its_entry_again_is_back(self):
         # Guards against excluding an upstream for good after a partition.
@@ -180,9 +180,9 @@
         self.write(1.0, "u1", READY)
         self.write(2.0, "u1", None)
         self.restore_store(5.0, u1=READY)
-        self.known.directory.expire(8.9)
+        self.deployment.directory.expire(8.9)
         self.assertEqual([], self.list_active())
-        self.assertTrue(self.known.directory.expire(9.1))
+        self.assertTrue(self.deployment.directory.expire(9.1))
         self.assertEqual(["u1"], self.list_active())
 
     def test_missing_upstream_is_kept_for_two_seconds(self):
@@ -190,9 +190,9 @@
         # after the backup was made.
         self.write(1.0, "u1", READY)
         self.restore_store(5.0)
-        self.known.directory.expire(7.0)
+        self.deployment.directory.expire(7.0)
         self.assertEqual(["u1"], self.list_active())
-        self.known.directory.expire(7.4)
+        self.deployment.directory.expire(7.4)
         self.assertEqual([], self.list_active())
 
     def test_upstream_of_the_new_era_is_active_at_once(self):
@@ -200,16 +200,16 @@
         self.assertEqual(["u1"], self.list_active())
 
     def list_evacuated(self):
-        return list(self.known.directory.evacuations.list_evacuating())
+        return list(self.deployment.directory.evacuations.list_evacuating())
 
     def test_evacuation_goes_on_until_it_is_written_again(self):
         # Guards against an evacuation that is interrupted for a second.
         self.write(1.0, EVACUATION_KEY, b"{}")
         self.restore_store(5.0)
-        self.known.apply_pending_evacuations(7.0)
+        self.deployment.apply_pending_evacuations(7.0)
         self.assertEqual([DATA_CENTRE], self.list_evacuated())
         self.write(7.1, EVACUATION_KEY, b"{}", era=1)
-        self.known.apply_pending_evacuations(9.0)
+        self.deployment.apply_pending_evacuations(9.0)
         self.assertEqual([DATA_CENTRE], self.list_evacuated())
 
     def test_cancelled_evacuation_does_not_start_again(self):
@@ -220,13 +220,13 @@
         self.restore_store(5.0, op_wish=b"{}")
         self.assertEqual([], self.list_evacuated())
         self.write(6.0, EVACUATION_KEY, None, era=1)
-        self.known.apply_pending_evacuations(9.0)
+        self.deployment.apply_pending_evacuations(9.0)
         self.assertEqual([], self.list_evacuated())
 
-    def test_backup_is_applied_unless_it_is_written_again(self):
+    def test_evacuation_missing_in_the_backup_ends_after_a_while(self):
         self.write(1.0, EVACUATION_KEY, b"{}")
         self.restore_store(5.0)
-        self.known.apply_pending_evacuations(7.4)
+        self.deployment.apply_pending_evacuations(7.4)
         self.assertEqual([], self.list_evacuated())
 
     def test_starting_host_applies_the_backup_at_once(self):
--- a/tests/daemons/test_election.py
+++ b/tests/daemons/test_election.py
@@ -150,7 +150,7 @@
         self.step(1.0)
         self.assertEqual(NO_POSITION, self.leadership.term)
 
-    def list_own(self):
+    def sync_deployment(self):
         self.deployment.apply_items(self.model.list("").items, read_clock())
 
     def test_takes_over_from_its_own_process_that_was_killed(self):
@@ -159,7 +159,7 @@
         # renewed meanwhile and keys would become unavailable.
         former = LeaderRecord("h-1", "before", "1.1.1.1:1")
         self.model.put(LEADER_KEY, msgspec.json.encode(former))
-        self.list_own()
+        self.sync_deployment()
         self.step()
         self.assertTrue(self.leadership.may_order(read_clock()))
 
@@ -171,7 +171,7 @@
             LeaderRecord("h-9", "before", "1.1.1.1:1"),
         ):
             self.model.put(LEADER_KEY, msgspec.json.encode(other))
-            self.list_own()
+            self.sync_deployment()
             self.step()
             self.step(1.0)
             self.assertEqual(NO_POSITION, self.leadership.term)
--- a/tests/daemons/test_feed.py
+++ b/tests/daemons/test_feed.py
@@ -80,7 +80,8 @@
 
     def test_host_learns_how_many_there_are(self):
         # The retry budget is divided among all hosts. A host that is
-        # partitioned from the leader keeps using its share.
+        # partitioned from the leader keeps using its share, so it still has
+        # to be counted.
         self.update_leader(5, "u-1")
         self.publisher.note_report("10.0.0.3:1", at(0), 100.0)
         self.report(100.0)
@@ -107,7 +108,7 @@
             self.update_leader(revision, "u-1", value)
             self.publisher.publish(100.0)
 
-    def test_change_of_a_long_item_travels_as_a_patch(self):
+    def test_change_of_a_long_item_is_sent_as_a_patch(self):
         value = bytes(range(256)) * 20
         changed = value[:2000] + b"moved" + value[2005:]
         self.report(100.0)
@@ -119,8 +120,8 @@
         self.assertEqual(changed, self.host.find_item("u-1").value)
 
     def test_patch_of_an_unknown_version_sends_the_host_to_the_store(self):
-        # The leader assumes a newer version than the host has. Applied to that
-        # one, the patch would produce a table that was never written.
+        # The leader assumes a newer version than the host has. Applied to the
+        # older one, the patch would produce a table that was never written.
         value = bytes(range(256)) * 20
         self.report(100.0)
         self.feed_versions(value, value + b"a")
--- a/tests/daemons/test_orderclient.py
+++ b/tests/daemons/test_orderclient.py
@@ -13,8 +13,8 @@
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 KEYS = KeyRange(0, 9)
-OBEYED = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-CLOSING = OBEYED.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
+OK_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+CLOSING = OK_ANSWER.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
 
 
 class TestOrderClient(testtools.TestCase):
@@ -57,7 +57,7 @@
         self.assertIs(OrderOutcome.UNSENT, result.taken)
         self.assertEqual([], self.prepared)
 
-    def test_unanswered_grant_may_have_been_taken(self):
+    def test_outcome_of_an_unanswered_grant_is_unknown(self):
         task = gevent.spawn(self.listener.accept)
         result = self.client.grant(KEYS, 1, "", self.prepare)
         task.join()
@@ -72,7 +72,7 @@
         self.port = 0
         self.peers = []
         self.grants = []
-        self.answer = OBEYED
+        self.answer = OK_ANSWER
         self.ends = False
         self.pause = 0.0
         self.start()
@@ -216,13 +216,13 @@
         self.upstream.answer = CLOSING
         self.upstream.ends = True
         self.assertIs(OrderOutcome.DONE, self.grant())
-        self.upstream.answer = OBEYED
+        self.upstream.answer = OK_ANSWER
         self.upstream.ends = False
         self.upstream.start()
         self.assertIs(OrderOutcome.DONE, self.grant())
         self.assertEqual(1, self.client.session)
 
-    def test_unanswered_order_says_nothing_of_a_restart(self):
+    def test_unanswered_order_is_no_restart(self):
         # Some upstreams leave orders unanswered for seconds. Assigning a new
         # fence each time would cost more than it protects from.
         self.upstream._serve = lambda peer: gevent.sleep(9)
--- a/tests/daemons/test_orderexecutor.py
+++ b/tests/daemons/test_orderexecutor.py
@@ -1,4 +1,4 @@
-"""Tests of the orders of one term."""
+"""Tests of the orders of one term, with fake clients or real sockets."""
 
 import gevent
 from gevent.event import Event
--- a/tests/daemons/test_path.py
+++ b/tests/daemons/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path with real processes against the stand-ins."""
+"""End-to-end tests with real processes and stand-ins for the platform."""
 
 import json
 import pathlib
@@ -64,7 +64,7 @@
         self.assertEqual(404, answer.status)
         self.assertEqual("not-run", answer.find_header("sedgetide-outcome"))
 
-    def test_method_without_a_rule(self):
+    def test_method_without_a_route(self):
         self.assertEqual(404, self.call("PUT", "/mappa-fumi/tiles/x").status)
 
     def test_operation_id_must_carry_its_time(self):
@@ -80,8 +80,8 @@
         self.assertEqual(431, answer.status)
 
     def test_body_that_ends_early_is_not_passed_on(self):
-        # The caller is cut off half way through an alert. Half of it must
-        # not reach the upstream as the whole.
+        # The caller's connection breaks halfway through the body of an alert.
+        # The incomplete body must not reach the upstream.
         entry = self.fleet.entries["sala-milano-1"]
         address = split_address(entry.settings["listen"])
         peer = socket.create_connection(address, timeout=10.0)
--- a/tests/daemons/test_recordkeys.py
+++ b/tests/daemons/test_recordkeys.py
@@ -31,6 +31,6 @@
             found = [key for key in keys if key.startswith(prefix)]
             self.assertEqual(1, len(found))
 
-    def test_keys_of_others_are_none(self):
+    def test_keys_of_other_writers_are_not_parsed(self):
         for key in ("op/config", "leader", "sedgetide/eras/x/leader"):
             self.assertIsNone(parse_key(key))
--- a/tests/daemons/test_renewal.py
+++ b/tests/daemons/test_renewal.py
@@ -38,7 +38,7 @@
         self.assertEqual(2, self.counts[2])
         self.assertEqual(1, self.counts[9])
 
-    def test_slow_order_holds_up_one_worker_only(self):
+    def test_slow_order_blocks_one_worker_only(self):
         ended = []
 
         def grant(tenure):
@@ -49,7 +49,7 @@
         self.renew(grant)
         self.assertEqual(0, ended[-1])
 
-    def test_upstream_out_of_reach_is_given_up(self):
+    def test_round_ends_when_the_upstream_is_unreachable(self):
         taken = self.renew(lambda _: OrderOutcome.UNSENT)
         self.assertLess(len(taken), 4)
 
--- a/tests/daemons/test_restored_store.py
+++ b/tests/daemons/test_restored_store.py
@@ -23,7 +23,7 @@
 # Seconds; the backup was made before the lost writes.
 BACKUP_AGE = 1.5
 OUTAGE = 0.7
-IN_FORCE_WITHIN = 2.0
+APPLIED_WITHIN = 2.0
 # Seconds; before that, a removed entry is taken for one missing in the backup.
 STABLE_AFTER = 3.0
 RECOVERED_WITHIN = 8.0
@@ -62,7 +62,7 @@
         self.lose_writes()
         gevent.sleep(OUTAGE)
         self.fleet.configure(3, ("fresh",))
-        gevent.sleep(IN_FORCE_WITHIN)
+        gevent.sleep(APPLIED_WITHIN)
         promises = Promises(self.fleet, 0.0)
         promises.check_configuration(["fresh"])
         self.assertEqual([], promises.problems)
--- a/tests/daemons/test_stop.py
+++ b/tests/daemons/test_stop.py
@@ -1,4 +1,4 @@
-"""Planned stops under a steady load, with real processes."""
+"""Tests of planned stops under a steady load, with real processes."""
 
 import collections
 import json
@@ -48,10 +48,11 @@
         self.assertEqual([], find_doubled(journal))
         self.assertEqual([], find_two_owners(journal))
 
-    def test_stop_of_a_keeper_cuts_no_request(self):
-        # The caller must see nothing. The leaver tells its peers and
-        # refuses what is new as not run; entries send that to the keeper
-        # that takes over; what is running ends before the process does.
+    def test_stop_of_a_keeper_aborts_no_request(self):
+        # The stop must be invisible to callers. The keeper announces it to
+        # its peers and refuses new requests as not run, which entries then
+        # send to the keeper that takes over. Running requests end before the
+        # process does.
         upstream = next(iter(self.fleet.upstreams))
         keeper = self.fleet.find_keeper(upstream)
         keeper.process.terminate()
@@ -59,9 +60,10 @@
         gevent.sleep(WARM_UP)
         self.check()
 
-    def test_stop_of_an_entry_cuts_no_request(self):
-        # The entry turns unready first, so that the balancer sends no more;
-        # it goes on listening for as long as the balancer may need.
+    def test_stop_of_an_entry_aborts_no_request(self):
+        # The entry first reports not ready, so that the load balancer sends
+        # no more requests, and keeps listening for as long as the load
+        # balancer may need to notice.
         entry = self.fleet.entries["sala-milano-1"]
         entry.process.terminate()
         wait_for(lambda: not entry.is_ready(), 10, "unready")
--- a/tests/daemons/test_upstreamtask.py
+++ b/tests/daemons/test_upstreamtask.py
@@ -78,7 +78,7 @@
     def setUp(self):
         super().setUp()
         self.client = FakeClient()
-        self.news = []
+        self.reports = []
         self.task = UpstreamTask(
             "k/1",
             SERVICE,
@@ -86,7 +86,7 @@
             self.client,
             SETTINGS,
             lambda orderer: False,
-            lambda: self.news.append(1),
+            lambda: self.reports.append(1),
         )
         self.addCleanup(self.task.close)
         owned = EMPTY_ASSIGNMENT.assign_first({KEY: "u"}, "1")
@@ -123,10 +123,10 @@
         result = UpstreamResult(HttpAnswer(200, list(headers), b"x"), declined)
         self.client.runs[index][2].set(result)
 
-    def break_off(self, index, code=ErrorCode.BAD_ANSWER, sent=True):
+    def fail_run(self, index, code=ErrorCode.BAD_ANSWER, sent=True):
         self.client.runs[index][2].set_exception(fail(code, sent))
 
-    def test_answer_is_passed_on_without_own_headers(self):
+    def test_answer_is_passed_on_without_reserved_headers(self):
         told = self.submit("1")
         self.answer(0, [("x", "y"), ("Sedgetide-Request", "1")])
         response = told.get()
@@ -135,21 +135,21 @@
 
     def test_failure_after_the_send_is_unknown(self):
         told = self.submit("1")
-        self.break_off(0)
+        self.fail_run(0)
         self.assertIs(Outcome.UNKNOWN, told.get().outcome)
 
     def test_failure_before_the_send_is_not_run(self):
         told = self.submit("1")
-        self.break_off(0, ErrorCode.UPSTREAM_UNREACHABLE, sent=False)
+        self.fail_run(0, ErrorCode.UPSTREAM_UNREACHABLE, sent=False)
         self.assertIs(Outcome.NOT_RUN, told.get().outcome)
 
     def test_timeout_is_not_run_only_when_cancelled_before_it_began(self):
         told = self.submit("1")
-        self.break_off(0, ErrorCode.UPSTREAM_SILENT)
+        self.fail_run(0, ErrorCode.UPSTREAM_SILENT)
         self.assertIs(Outcome.UNKNOWN, told.get().outcome)
         self.client.begun = False
         told = self.submit("2")
-        self.break_off(1, ErrorCode.UPSTREAM_SILENT)
+        self.fail_run(1, ErrorCode.UPSTREAM_SILENT)
         self.assertIs(Outcome.NOT_RUN, told.get().outcome)
 
     def test_repeat_of_an_operation_joins_and_runs_once(self):
@@ -178,7 +178,7 @@
         # operation id must not return the remembered unknown outcome.
         operation = make_operation_id(time.time())
         told = self.submit("1", operation, idempotent=True)
-        self.break_off(0)
+        self.fail_run(0)
         self.assertIs(Outcome.UNKNOWN, told.get().outcome)
         told = self.submit("2", operation, idempotent=True)
         self.answer(1)
