--- a/sedgetide/daemons/_deployment.py
+++ b/sedgetide/daemons/_deployment.py
@@ -518,7 +518,7 @@
 
     @property
     def can_route(self) -> bool:
-        """Whether the policy and the tables of all keyed services are known."""
+        """Whether the policy and all keyed services' tables are known."""
         if self.policy is None:
             return False
         return all(
--- a/sedgetide/daemons/_itempatches.py
+++ b/sedgetide/daemons/_itempatches.py
@@ -14,7 +14,7 @@
 
 # Bytes; for shorter values a patch costs more than it saves.
 _MIN_SIZE = 1024
-# Bytes; the window of deflate, which can't refer back any further.
+# Bytes; the window of deflate, which uses only the end of a longer base.
 _MAX_SIZE = 32 * 1024
 _MAX_VERSIONS = 4
 _COMPRESSION_LEVEL = 6
--- a/sedgetide/daemons/_leader.py
+++ b/sedgetide/daemons/_leader.py
@@ -248,7 +248,7 @@
         Hosts that are fed by this one are told to watch the store
         themselves, and all grants are renewed with the longer hold that
         bridges an outage. They must be sent before the proof of leadership
-        expires, which is sooner than the next regular renewal. The other
+        expires, which takes less than one interval of renewals. The other
         loops can't do this as they may be blocked on a call to the store.
         """
         last = self._durations.hold
--- a/sedgetide/daemons/_storewatcher.py
+++ b/sedgetide/daemons/_storewatcher.py
@@ -84,26 +84,26 @@
         stack.callback(self._store.close)
 
     def _loop(self) -> None:
-        pause = _RETRY_DELAY
+        retry_delay = _RETRY_DELAY
         while True:
             if self._listed and self._is_fed():
                 gevent.sleep(_FED_POLL_INTERVAL)
                 continue
             try:
                 if self._sync_once():
-                    pause = _RETRY_DELAY
+                    retry_delay = _RETRY_DELAY
                     self._history_was_lost = False
             except HistoryLost:
                 log_event(Event.HISTORY_LOST, revision=self._deployment.as_of)
                 self._listed = False
                 if self._history_was_lost:
-                    gevent.sleep(pause)
-                    pause = min(_MAX_RETRY_DELAY, pause * 1.5)
+                    gevent.sleep(retry_delay)
+                    retry_delay = min(_MAX_RETRY_DELAY, retry_delay * 1.5)
                 self._history_was_lost = True
             except StoreError as error:
                 self._note_store_lost(error)
-                gevent.sleep(pause)
-                pause = min(_MAX_RETRY_DELAY, pause * 1.5)
+                gevent.sleep(retry_delay)
+                retry_delay = min(_MAX_RETRY_DELAY, retry_delay * 1.5)
 
     def _sync_once(self) -> bool:
         """List or watch once; return whether it was a watch."""
--- a/sedgetide/daemons/host.py
+++ b/sedgetide/daemons/host.py
@@ -293,7 +293,7 @@
             stack.callback(server.stop, timeout=0.1)
 
     def _housekeeping_loop(self) -> None:
-        for turn in itertools.count():
+        for iteration in itertools.count():
             gevent.sleep(_HOUSEKEEPING_INTERVAL)
             now = read_clock()
             self._update_partition(now)
@@ -304,7 +304,7 @@
             self._deployment.apply_pending_evacuations(now)
             if self._deployment.directory.expire(now):
                 self._deployment.changes.notify_all()
-            if turn % _PRUNE_PERIOD == 0:
+            if iteration % _PRUNE_PERIOD == 0:
                 entries = self._deployment.directory.list_all()
                 self._channels.prune({entry.name for entry in entries})
 
--- a/tests/daemons/test_pushback.py
+++ b/tests/daemons/test_pushback.py
@@ -1,4 +1,4 @@
-"""Upstreams that ask something of their senders, as real processes."""
+"""Tests of upstreams that push back on senders, with real processes."""
 
 import collections
 import pathlib
@@ -24,28 +24,28 @@
 
 CALLERS = 14
 KEYED, PLAIN = 0, 4
-# Seconds after the start of an upstream.
+# Seconds after its start at which an upstream begins to push back.
 SAID_AT = 4.0
 # Requests a second.
 LIMITS = {KEYED: 2.2, PLAIN: 1.3}
 LIMITED_FOR = 15.0
 LEAVING_FOR = 10.0
 BACKOFF_FOR = 12.0
-# Seconds.
+# Seconds from the announcement of a shutdown until the keys have moved.
 MOVED_WITHIN = 1.0
-# Until a limit counts as lasting, and for some rounds of moves.
+# Seconds until a limit counts as lasting and some rounds of moves are done.
 BALANCED_WITHIN = 7.0
-# Status and note of a request that found no room at its owner.
+# Status and note of a request refused because its owner's window was full.
 FULL = ("503", "window")
 _REASON = re.compile(r" status=(\d+) .* note=(\S*)")
 _KEPT = pathlib.Path("build")
 
 
 class PushbackTest(testtools.TestCase):
-    """Fleet of two upstreams, one with keys, that say the same."""
+    """Base class with two upstreams that push back, one of them with keys."""
 
     def start(self, words):
-        """Start a fleet whose two upstreams say some words from a time on."""
+        """Start a fleet with a list of remarks to answer for each upstream."""
         folder = pathlib.Path(self.enterContext(tempfile.TemporaryDirectory()))
         self.addOnException(lambda _: self.keep(folder))
         says = {
@@ -61,7 +61,7 @@
         shutil.copytree(folder, _KEPT / self.id(), dirs_exist_ok=True)
 
     def play(self, seconds):
-        """Have callers ask for a while."""
+        """Send callers' requests for some seconds."""
         callers = [Caller(each, self.fleet, 1) for each in range(CALLERS)]
         tasks = [gevent.spawn(each.run) for each in callers]
         gevent.sleep(seconds)
@@ -79,15 +79,16 @@
         return None
 
     def count_arrived(self):
-        """Return the requests that reached each upstream with a script."""
+        """Count the requests that reached each upstream that pushes back."""
         return collections.Counter(
             each.upstream for each in self.events if each.kind == ARRIVED
         )
 
 
 class TestLimit(PushbackTest):
-    def test_hosts_together_keep_to_a_named_limit(self):
-        # Guards against a limit that nobody keeps, or each host on its own.
+    def test_hosts_together_respect_a_rate_limit(self):
+        # Guards against a limit that is ignored, or that each host applies to
+        # its own requests only.
         self.start({each: [f"limit:{LIMITS[each]}"] for each in LIMITS})
         self.play(LIMITED_FOR)
         words = [each for each in self.events if LIMIT in each.said]
@@ -100,7 +101,7 @@
             self.assertGreater(count, 0.5 * limit * span, upstream)
 
     def test_keys_move_from_an_upstream_whose_limit_lasts(self):
-        # Guards against keys that are refused for as long as the limit lasts.
+        # Guards against refusing requests for the keys until the limit ends.
         self.start({KEYED: [f"limit:{LIMITS[KEYED]}"]})
         self.play(LIMITED_FOR)
         first = min(each.at for each in self.events if LIMIT in each.said)
@@ -113,8 +114,9 @@
 
 
 class TestLeaving(PushbackTest):
-    def test_word_of_leaving_binds_while_the_store_is_away(self):
-        # Guards against sends to an upstream that only its answers tell of.
+    def test_announced_shutdown_is_respected_without_the_store(self):
+        # Guards against sends to an upstream whose shutdown is announced only
+        # in its answers.
         self.start({KEYED: ["leaving:1"], PLAIN: ["leaving:1"]})
         for host in self.fleet.hosts:
             host.store.mode = Mode.CUT
@@ -127,7 +129,7 @@
         self.assertEqual(2, len(told))
 
     def test_keys_move_from_an_upstream_that_leaves(self):
-        # Guards against keys that stay with it until the store knows.
+        # Guards against keys that stay until the registry entry changes.
         self.start({KEYED: ["leaving:1"]})
         self.play(LEAVING_FOR)
         moved = (
@@ -139,15 +141,16 @@
         late = [ask for ask in late if ask.at < ended]
         refused = [ask.number for ask in late if ask.status != 200]
         self.assertLess(len(refused), 0.1 * len(late))
-        # Three upstreams are left of four, and may have no room at times.
+        # Three of four upstreams are left, whose windows may be full at times.
         self.assertLessEqual(
             {self.find_reason(number) for number in refused}, {FULL}
         )
 
 
 class TestBackoff(PushbackTest):
-    def test_host_backs_off_for_as_long_as_it_was_asked(self):
-        # Guards against callers' repeats that reach whoever wants none.
+    def test_host_backs_off_for_as_long_as_requested(self):
+        # Guards against callers' retries that reach an upstream during its
+        # backoff.
         self.start({KEYED: ["backoff:3"], PLAIN: ["backoff:2.5"]})
         self.play(BACKOFF_FOR)
         words = [each for each in self.events if BACKOFF in each.said]
--- a/tests/daemons/test_stop.py
+++ b/tests/daemons/test_stop.py
@@ -38,12 +38,12 @@
         gevent.sleep(WARM_UP)
 
     def check(self):
-        told = self.load.stop()
+        answers = self.load.stop()
         outcomes = collections.Counter(
-            (each.outcome, each.reason) for each in told
+            (each.outcome, each.reason) for each in answers
         )
         self.assertEqual({("answered", "")}, set(outcomes), outcomes)
-        self.assertTrue(all(each.whole for each in told))
+        self.assertTrue(all(each.whole for each in answers))
         journal = self.fleet.read_journals()
         self.assertEqual([], find_doubled(journal))
         self.assertEqual([], find_two_owners(journal))
--- a/tests/daemons/test_upstreamtask.py
+++ b/tests/daemons/test_upstreamtask.py
@@ -61,9 +61,9 @@
     def cancel(self, number, timeout):
         return not self.begun
 
-    def run(self, order, work, timeout, fresh):
+    def run(self, order, request, timeout, fresh):
         result = AsyncResult()
-        self.runs.append((work, fresh, result))
+        self.runs.append((request, fresh, result))
         return result.get()
 
     def close(self):
@@ -127,30 +127,30 @@
         self.client.runs[index][2].set_exception(fail(code, sent))
 
     def test_answer_is_passed_on_without_reserved_headers(self):
-        told = self.submit("1")
+        reply = self.submit("1")
         self.answer(0, [("x", "y"), ("Sedgetide-Request", "1")])
-        response = told.get()
+        response = reply.get()
         self.assertIs(Outcome.ANSWERED, response.outcome)
         self.assertEqual([("x", "y")], response.headers)
 
     def test_failure_after_the_send_is_unknown(self):
-        told = self.submit("1")
+        reply = self.submit("1")
         self.fail_run(0)
-        self.assertIs(Outcome.UNKNOWN, told.get().outcome)
+        self.assertIs(Outcome.UNKNOWN, reply.get().outcome)
 
     def test_failure_before_the_send_is_not_run(self):
-        told = self.submit("1")
+        reply = self.submit("1")
         self.fail_run(0, ErrorCode.UPSTREAM_UNREACHABLE, sent=False)
-        self.assertIs(Outcome.NOT_RUN, told.get().outcome)
+        self.assertIs(Outcome.NOT_RUN, reply.get().outcome)
 
     def test_timeout_is_not_run_only_when_cancelled_before_it_began(self):
-        told = self.submit("1")
+        reply = self.submit("1")
         self.fail_run(0, ErrorCode.UPSTREAM_SILENT)
-        self.assertIs(Outcome.UNKNOWN, told.get().outcome)
+        self.assertIs(Outcome.UNKNOWN, reply.get().outcome)
         self.client.begun = False
-        told = self.submit("2")
+        reply = self.submit("2")
         self.fail_run(1, ErrorCode.UPSTREAM_SILENT)
-        self.assertIs(Outcome.NOT_RUN, told.get().outcome)
+        self.assertIs(Outcome.NOT_RUN, reply.get().outcome)
 
     def test_repeat_of_an_operation_joins_and_runs_once(self):
         operation = make_operation_id(time.time())
@@ -166,23 +166,23 @@
 
     def test_declined_operation_may_run_again(self):
         operation = make_operation_id(time.time())
-        told = self.submit("1", operation)
+        reply = self.submit("1", operation)
         self.answer(0, declined="shed")
-        self.assertIs(Reason.SHED, told.get().reason)
-        told = self.submit("2", operation)
+        self.assertIs(Reason.SHED, reply.get().reason)
+        reply = self.submit("2", operation)
         self.answer(1)
-        self.assertIs(Outcome.ANSWERED, told.get().outcome)
+        self.assertIs(Outcome.ANSWERED, reply.get().outcome)
 
     def test_read_with_an_operation_id_is_sent_again(self):
         # The entry lost the answer of a read and sends the read again. Its
         # operation id must not return the remembered unknown outcome.
         operation = make_operation_id(time.time())
-        told = self.submit("1", operation, idempotent=True)
+        reply = self.submit("1", operation, idempotent=True)
         self.fail_run(0)
-        self.assertIs(Outcome.UNKNOWN, told.get().outcome)
-        told = self.submit("2", operation, idempotent=True)
+        self.assertIs(Outcome.UNKNOWN, reply.get().outcome)
+        reply = self.submit("2", operation, idempotent=True)
         self.answer(1)
-        self.assertIs(Outcome.ANSWERED, told.get().outcome)
+        self.assertIs(Outcome.ANSWERED, reply.get().outcome)
 
     def test_slots_limit_concurrent_requests(self):
         for number in range(5):
@@ -196,28 +196,28 @@
     def test_loss_of_upstream_ends_running_requests(self):
         # The upstream froze with a running request. Its caller would wait
         # until the deadline for an owner that is being replaced.
-        told = self.submit("1")
+        reply = self.submit("1")
         self.task._fail_running_requests()
-        self.assertIs(Outcome.UNKNOWN, told.get().outcome)
+        self.assertIs(Outcome.UNKNOWN, reply.get().outcome)
 
     def test_request_not_yet_begun_survives_a_loss(self):
         # The loss is noticed after the request was taken from the queue but
         # before its greenlet first ran. Killed then, the greenlet would never
         # free its slot or answer its caller.
-        told = AsyncResult()
-        number = self.submit("1")
+        reply = AsyncResult()
+        first = self.submit("1")
         request = msgspec.structs.replace(self.last, number="2")
-        self.task.submit(request, told.set, time.monotonic())
+        self.task.submit(request, reply.set, time.monotonic())
         self.task._fail_running_requests()
-        self.assertIs(Outcome.UNKNOWN, number.get().outcome)
+        self.assertIs(Outcome.UNKNOWN, first.get().outcome)
         gevent.sleep(0)
         self.answer(1)
-        self.assertIs(Outcome.ANSWERED, told.get(timeout=30.0).outcome)
+        self.assertIs(Outcome.ANSWERED, reply.get(timeout=30.0).outcome)
 
     def test_retired_task_refuses_queued_requests(self):
-        told = [self.submit(str(number)) for number in range(3)]
+        replies = [self.submit(str(number)) for number in range(3)]
         self.task.retire()
-        self.assertIs(Reason.NOT_KEEPER, told[2].get().reason)
-        self.assertIs(Outcome.NOT_RUN, told[2].get().outcome)
+        self.assertIs(Reason.NOT_KEEPER, replies[2].get().reason)
+        self.assertIs(Outcome.NOT_RUN, replies[2].get().outcome)
         self.answer(0)
-        self.assertIs(Outcome.ANSWERED, told[0].get().outcome)
+        self.assertIs(Outcome.ANSWERED, replies[0].get().outcome)
