--- a/tests/daemons/test_pushback.py
+++ b/tests/daemons/test_pushback.py
@@ -121,12 +121,12 @@
         for host in self.fleet.hosts:
             host.store.mode = Mode.CUT
         self.play(LEAVING_FOR)
-        told = {
+        announced = {
             each.upstream
             for each in self.events
             if each.kind == SAID and LEAVING in each.said
         }
-        self.assertEqual(2, len(told))
+        self.assertEqual(2, len(announced))
 
     def test_keys_move_from_an_upstream_that_leaves(self):
         # Guards against keys that stay until the registry entry changes.
