--- a/sedgetide/daemons/_frontend.py
+++ b/sedgetide/daemons/_frontend.py
@@ -214,8 +214,8 @@
     def _write_failure(
         self, response: falcon.Response, result: Response
     ) -> None:
-        plain = _DEFAULT_STATUSES[result.outcome]
-        response.status = _STATUSES.get(result.reason, plain)
+        default = _DEFAULT_STATUSES[result.outcome]
+        response.status = _STATUSES.get(result.reason, default)
         response.set_header(HEADER_REASON, result.reason.value)
         if result.outcome is Outcome.NOT_RUN and response.status == 503:
             seconds = max(1, math.ceil(result.retry_after))
--- a/sedgetide/daemons/_places.py
+++ b/sedgetide/daemons/_places.py
@@ -65,22 +65,22 @@
         self._on_release = on_release
         self._seconds: float | None = None
         self._waiting = 0
-        self._said: StatedLimit | None = None
+        self._stated_limit: StatedLimit | None = None
 
     def note_answer(
         self,
         seconds: float | None,
         waiting: int,
-        said: StatedLimit | None = None,
+        stated_limit: StatedLimit | None = None,
     ) -> None:
         """Record what to report to the lender about the answer."""
         self._seconds = seconds
         self._waiting = waiting
-        self._said = said
+        self._stated_limit = stated_limit
 
     def release(self) -> None:
         """Return the place to the lender."""
-        self._on_release(self._seconds, self._waiting, self._said)
+        self._on_release(self._seconds, self._waiting, self._stated_limit)
 
 
 class Places:
@@ -181,13 +181,15 @@
         PLACES.labels("silent" if verdict is None else verdict.value).inc()
         if granted:
             return Place(
-                lambda seconds, waiting, said: self._deliver(
+                lambda seconds, waiting, stated_limit: self._deliver(
                     link,
                     EndPlace(
                         number,
                         seconds,
                         waiting,
-                        None if said is None else said.shift(-read_clock()),
+                        None
+                        if stated_limit is None
+                        else stated_limit.shift(-read_clock()),
                     ),
                 )
             )
@@ -252,9 +254,12 @@
         return min(bounds, default=None)
 
     def list_limits(self, now: float) -> dict[IncarnationName, float]:
-        """Return the rate limits that this host enforces for all hosts.
+        """Return the rate limits that this host enforces as a lender.
 
-        In requests a second.
+        Returns
+        -------
+        dict of IncarnationName to float
+            Requests a second that all hosts together may send to an upstream.
         """
         return self._lender.list_limits(now)
 
--- a/sedgetide/daemons/_requestlog.py
+++ b/sedgetide/daemons/_requestlog.py
@@ -27,7 +27,10 @@
 
 
 class RequestLog:
-    """Logs requests with the state that decided them, and its age.
+    """Logs each request with the state by which it was routed.
+
+    That is the version of the policy, the revision of the table of owners, the
+    fence, and the age of this state.
 
     Parameters
     ----------
@@ -42,7 +45,7 @@
         self, context: RequestContext, status: int, began: float
     ) -> None:
         """Log the end of a request; status 0 means that its caller left."""
-        known = self._deployment.tables.get(context.service)
+        table = self._deployment.tables.get(context.service)
         now = read_clock()
         log_event(
             Event.REQUEST,
@@ -62,7 +65,7 @@
             held_ms=int(context.held * 1000),
             rested_ms=int(context.rested * 1000),
             version=self._deployment.policy.version,
-            revision=0 if known is None else known.position,
+            revision=0 if table is None else table.position,
             fence=context.fence,
             age_ms=int((now - self._deployment.heard_at) * 1000),
         )
--- a/sedgetide/daemons/_sender.py
+++ b/sedgetide/daemons/_sender.py
@@ -92,8 +92,9 @@
         permit : SendPermit
             Permission to send it, and the upstream.
         may_send : callable
-            Called right before the send; returns whether the permit is
-            still valid, since opening a connection takes up to 0.4 s.
+            Returns whether the permit is still valid. Called right before
+            the send, after a connection has been opened, which takes up to
+            0.4 s.
 
         Returns
         -------
@@ -133,7 +134,7 @@
         context.fence = target.fence
         context.rested = connection.rested
         # Until an answer arrives, the upstream may have run the request.
-        before, progress.outcome = progress.outcome, Outcome.UNKNOWN
+        earlier_outcome, progress.outcome = progress.outcome, Outcome.UNKNOWN
         try:
             answer = connection.exchange(
                 self._build_request(context, target, began),
@@ -155,7 +156,7 @@
         self._partitions.note_reached(
             target.upstream.data_centre, read_clock()
         )
-        self._handle_answer(context, permit, answer, before, began)
+        self._handle_answer(context, permit, answer, earlier_outcome, began)
         return True
 
     def _build_request(
@@ -188,7 +189,7 @@
         context: RequestContext,
         permit: SendPermit,
         answer: Answer,
-        before: Outcome,
+        earlier_outcome: Outcome,
         began: float,
     ) -> None:
         now = read_clock()
@@ -201,12 +202,14 @@
             self._dialect.classify_answer(answer.status, answer.headers),
             context.keyed,
         )
-        said = self._apply_pushback(target, answer, failure, began, now)
+        stated_limit = self._apply_pushback(
+            target, answer, failure, began, now
+        )
         if permit.place is not None:
             waiting = 0 if load is None else load.waiting
-            whole = failure is Failure.NONE
+            complete = failure is Failure.NONE
             permit.place.note_answer(
-                now - began if whole else None, waiting, said
+                now - began if complete else None, waiting, stated_limit
             )
         if failure is Failure.NONE:
             channel.health.note_success(now - began)
@@ -229,7 +232,7 @@
             self._deployment.directory.note_foreign(target.upstream.name, now)
         if failure in NOT_RUN_FAILURES:
             context.progress.outcome = combine_outcomes(
-                before, Outcome.NOT_RUN
+                earlier_outcome, Outcome.NOT_RUN
             )
         elif failure is Failure.FAILED:
             context.answer = Answer(
@@ -288,9 +291,9 @@
         elif failure is not Failure.NONE or pushback.problems:
             # Only a complete answer without a limit means that there is none.
             return None
-        said = StatedLimit(pushback.limit, began, now)
+        stated_limit = StatedLimit(pushback.limit, began, now)
         before = limits.find(upstream.name)
-        if limits.note(upstream.name, said):
+        if limits.note(upstream.name, stated_limit):
             limit = limits.find(upstream.name)
             log_event(
                 Event.LIMITED,
@@ -299,7 +302,11 @@
             )
         # Nearly all answers state no limit, and the lender is often in another
         # data centre; it is told of "no limit" only if there was one before.
-        return None if before is None and said.rate is None else said
+        return (
+            None
+            if before is None and stated_limit.rate is None
+            else stated_limit
+        )
 
     def _note_backoff(
         self, upstream: RegisteredUpstream, seconds: float, now: float
--- a/sedgetide/daemons/_trials.py
+++ b/sedgetide/daemons/_trials.py
@@ -243,7 +243,10 @@
         self._deliver_decisions(decisions)
 
     def _find_exclusive_service(self, message: AskTrial) -> ServiceName | None:
-        """Return the service in which no other strong suspect may run."""
+        """Return the service in which no other strong suspect may run.
+
+        None if the request is not a strong suspect.
+        """
         # Either host may know of a loss that the other has not heard of.
         strong = self._quarantine.is_strong_suspect(message.fingerprint)
         return message.service if message.grave or strong else None
--- a/tests/daemons/test_crashdetector.py
+++ b/tests/daemons/test_crashdetector.py
@@ -42,7 +42,7 @@
         super().setUp()
         self.directory = UpstreamDirectory()
         self.ended = []
-        self.watch = CrashDetector(
+        self.detector = CrashDetector(
             self.directory, lambda ended, now: self.ended.append(ended)
         )
 
@@ -74,7 +74,7 @@
 
     def test_process_that_has_ended(self):
         upstream = self.put(f"127.0.0.1:{find_port()}")
-        self.watch.note_broken(make_context(), upstream)
+        self.detector.note_broken(make_context(), upstream)
         self.assertEqual(LossProof.REFUSED, self.ended[0].proof)
         self.assertEqual(["r1"], [run.request for run in self.ended[0].runs])
 
@@ -92,26 +92,26 @@
             connection.close()
 
         upstream = self.serve(reset)
-        self.watch.note_broken(make_context(), upstream)
+        self.detector.note_broken(make_context(), upstream)
         gevent.sleep(0.05)
-        self.watch.run_periodic(read_clock())
+        self.detector.run_periodic(read_clock())
         self.assertEqual([], self.ended)
 
-    def test_full_upstream_is_not_asked_for_each_request(self):
+    def test_full_upstream_is_not_probed_for_each_request(self):
         upstream = self.serve(lambda connection: connection.close())
         for number in range(50):
-            self.watch.note_broken(make_context(number), upstream)
+            self.detector.note_broken(make_context(number), upstream)
         gevent.sleep(0.01)
         self.assertEqual(1, self.accepted)
 
     def test_announced_end_is_no_crash(self):
         upstream = self.put(f"127.0.0.1:{find_port()}", leaving=True)
-        self.watch.note_broken(make_context(), upstream)
+        self.detector.note_broken(make_context(), upstream)
         self.assertEqual([], self.ended)
 
-    def test_entry_that_disappears_tells_it_later(self):
+    def test_registry_entry_that_disappears_later_proves_the_end(self):
         upstream = self.serve(lambda connection: None)
-        self.watch.note_broken(make_context(), upstream)
+        self.detector.note_broken(make_context(), upstream)
         self.directory.remove(upstream.registered_name, read_clock())
-        self.watch.run_periodic(read_clock())
+        self.detector.run_periodic(read_clock())
         self.assertEqual(LossProof.WITHDRAWN, self.ended[0].proof)
--- a/tests/daemons/test_places.py
+++ b/tests/daemons/test_places.py
@@ -41,10 +41,10 @@
         hosts = (LendingHost(LENDER, NORTH),)
         deployment.set_lenders(LenderList(hosts))
 
-        def send(goal, message):
+        def send(destination, message):
             self.sent.append(message)
             if not self.lost:
-                gevent.spawn(self.hosts[goal].take, message, link)
+                gevent.spawn(self.hosts[destination].take, message, link)
 
         return Places(link, deployment, send, random.Random(1))
 
@@ -57,7 +57,7 @@
             self.assertIsInstance(each, Place)
         return places
 
-    def test_place_given_back_goes_to_who_waits(self):
+    def test_released_place_goes_to_a_waiting_request(self):
         first, second, _ = self.fill()
         waiting = gevent.spawn(self.acquire)
         gevent.sleep(0.01)
@@ -87,7 +87,7 @@
         self.assertIsNone(self.acquire())
         self.assertEqual(asked, len(self.sent))
 
-    def test_caller_who_leaves_is_taken_out_of_the_queue(self):
+    def test_request_of_a_caller_that_left_is_removed_from_the_queue(self):
         """The place of a caller that left goes to the next request.
 
         A caller closes its connection while its request is queued. If the
@@ -95,18 +95,18 @@
         the lease expires.
         """
         first, _, _ = self.fill()
-        leaver = gevent.spawn(self.acquire)
+        departed = gevent.spawn(self.acquire)
         gevent.sleep(0.01)
-        leaver.kill()
-        stayer = gevent.spawn(self.acquire)
+        departed.kill()
+        next_waiting = gevent.spawn(self.acquire)
         gevent.sleep(0.01)
         first.release()
-        self.assertIsInstance(stayer.get(timeout=1), Place)
+        self.assertIsInstance(next_waiting.get(timeout=1), Place)
 
     def test_late_verdict_releases_the_place(self):
         self.lost = True
         self.acquire()
-        question, end = self.sent
-        self.assertIsInstance(question, AskPlace)
+        request, end = self.sent
+        self.assertIsInstance(request, AskPlace)
         self.assertIsInstance(end, EndPlace)
-        self.assertEqual(question.number, end.number)
+        self.assertEqual(request.number, end.number)
--- a/tests/daemons/test_pushback.py
+++ b/tests/daemons/test_pushback.py
@@ -49,7 +49,7 @@
 
         Parameters
         ----------
-        words : dict of int to list of str
+        pushback : dict of int to list of str
             Pushback of each upstream, by its number.
         """
         folder = pathlib.Path(self.enterContext(tempfile.TemporaryDirectory()))
@@ -92,7 +92,7 @@
 
 
 class TestLimit(PushbackTest):
-    def test_hosts_together_keep_to_a_named_limit(self):
+    def test_hosts_together_keep_to_a_stated_limit(self):
         # Guards against a limit that is ignored, or that each host applies on
         # its own.
         self.start({each: [f"limit:{LIMITS[each]}"] for each in LIMITS})
@@ -120,19 +120,19 @@
 
 
 class TestLeaving(PushbackTest):
-    def test_announcement_of_leaving_holds_while_the_store_is_away(self):
+    def test_announcement_of_leaving_holds_without_the_store(self):
         # Guards against sending to an upstream whose announcement is known
         # only from its answers.
         self.start({KEYED: ["leaving:1"], PLAIN: ["leaving:1"]})
         for host in self.fleet.hosts:
             host.store.mode = Mode.CUT
         self.run_callers(LEAVING_FOR)
-        told = {
+        announced = {
             each.upstream
             for each in self.events
             if each.kind == SAID and LEAVING in each.said
         }
-        self.assertEqual(2, len(told))
+        self.assertEqual(2, len(announced))
 
     def test_keys_move_from_an_upstream_that_leaves(self):
         # Guards against keys that do not move until the store has the
--- a/tests/daemons/test_quarantine.py
+++ b/tests/daemons/test_quarantine.py
@@ -100,7 +100,7 @@
             self.net.report(turn * _REPORT_INTERVAL)
         self.assertEqual(0, self.net.delivered)
 
-    def test_all_know_at_once(self):
+    def test_quarantine_reaches_all_hosts_at_once(self):
         self.lose_three()
         self.assertEqual(
             [True] * 5, [host.is_quarantined(9.0) for host in self.net.hosts]
@@ -151,7 +151,7 @@
         )
         self.assertFalse(self.net.hosts[2].shared.lift(DEADLY, 21.0))
 
-    def test_silence_once_all_copies_are_alike(self):
+    def test_nothing_is_sent_once_all_copies_are_equal(self):
         self.lose_three()
         for turn in range(5):
             self.net.report(10.0 + turn * _REPORT_INTERVAL)
@@ -214,7 +214,7 @@
         if turn % 4 == 0:
             self.net.report(now)
 
-    def test_copies_become_one(self):
+    def test_copies_converge(self):
         self.cut_and_heal(40, 4)
         for turn in range(40):
             self.step(turn, round(6.0 + turn * 0.1, 1))
--- a/tests/daemons/test_quarantinerecord.py
+++ b/tests/daemons/test_quarantinerecord.py
@@ -24,11 +24,11 @@
 
     def __init__(self):
         self.calls = []
-        self.away = False
+        self.unavailable = False
 
     def transact(self, era, expected, writes):
         self.calls.append((expected, writes))
-        if self.away:
+        if self.unavailable:
             raise StoreError(ErrorCode.STORE_UNAVAILABLE, Step.WRITE)
         return Position(0, 10 + len(self.calls))
 
@@ -40,7 +40,7 @@
         self.deployment = DeploymentState(PlatformRegistry())
         self.writer = QuarantineWriter(self.store, self.deployment)
 
-    def hold(self):
+    def quarantine_request(self):
         for number, at in enumerate((0.0, 4.0, 8.0)):
             self.deployment.quarantine.note_loss(f"u{number}", ["f"], at, at)
 
@@ -51,12 +51,12 @@
         item = Item(QUARANTINE_KEY, revision, write.value)
         self.deployment.apply_items([item], now)
 
-    def test_no_call_while_nothing_is_held(self):
+    def test_no_call_while_nothing_is_quarantined(self):
         self.writer.run_periodic(TERM, 0.0)
         self.assertEqual([], self.store.calls)
 
     def test_one_call_when_a_stay_begins_and_one_when_it_ends(self):
-        self.hold()
+        self.quarantine_request()
         self.writer.run_periodic(TERM, 8.0)
         self.read_back(8.0)
         self.writer.run_periodic(TERM, 20.0)
@@ -80,22 +80,22 @@
         self.assertEqual((), self.deployment.recorded_quarantine.record.losses)
 
     def test_written_under_the_own_term_only(self):
-        self.hold()
+        self.quarantine_request()
         self.writer.run_periodic(TERM, 8.0)
         self.assertEqual(
             {LEADER_KEY: TERM, QUARANTINE_KEY: NO_POSITION},
             self.store.calls[0][0],
         )
 
-    def test_store_that_is_away_is_tried_once_a_second(self):
-        self.hold()
-        self.store.away = True
+    def test_unavailable_store_is_tried_once_a_second(self):
+        self.quarantine_request()
+        self.store.unavailable = True
         for turn in range(30):
             self.writer.run_periodic(TERM, 8.0 + turn / 10)
         self.assertEqual(3, len(self.store.calls))
 
     def test_host_that_starts_reads_it(self):
-        self.hold()
+        self.quarantine_request()
         self.writer.run_periodic(TERM, 8.0)
         self.deployment = DeploymentState(PlatformRegistry())
         self.read_back(50.0)
@@ -104,7 +104,7 @@
         )
 
     def test_record_of_another_form_changes_nothing(self):
-        self.hold()
+        self.quarantine_request()
         item = Item(QUARANTINE_KEY, Position(0, 11), b'{"stays": 7}')
         self.deployment.apply_items([item], 9.0)
         self.assertGreater(
--- a/tests/daemons/test_trials.py
+++ b/tests/daemons/test_trials.py
@@ -89,7 +89,7 @@
         trials = self.net.hosts[number].trials
         return self.enterContext(trials.open(context or make_context()))
 
-    def test_request_that_nothing_speaks_against_asks_nobody(self):
+    def test_request_that_is_not_suspect_asks_no_leader(self):
         self.net = Network(3, 0)
         self.net.lost = {self.net.leader}
         self.assertIs(Verdict.NEEDLESS, self.open(1).ask())
@@ -150,7 +150,7 @@
         self.assertTrue(second.wait())
         self.assertIs(Verdict.GRANTED, second.ask())
 
-    def test_patience_ends_while_an_answer_is_still_in_time(self):
+    def test_wait_ends_while_an_answer_is_still_in_time(self):
         first, second = self.open(1), self.open(2, make_context(0.2))
         first.ask()
         second.ask()
--- a/tests/daemons/test_upstreamchannels.py
+++ b/tests/daemons/test_upstreamchannels.py
@@ -19,16 +19,16 @@
         self.channel = UpstreamChannel(upstream, 1000, IdleLimit())
         self.addCleanup(self.channel.close)
 
-    def crowd(self):
+    def overload(self):
         for _ in range(50):
             self.channel.window.note_load(UpstreamLoad(2, 6, 2), read_clock())
 
-    def test_hopeless_wait_is_refused_at_once(self):
+    def test_too_long_wait_is_refused_at_once(self):
         # One key gets two fifths of the traffic, and its upstream takes one
         # request of this host every four seconds. Guards against holding
         # other requests for a quarter of a second before they are refused,
         # which leaves their callers less time for a retry.
-        self.crowd()
+        self.overload()
         self.assertTrue(self.channel.acquire(1, 0.25))
         self.channel.release()
         began = read_clock()
@@ -36,7 +36,7 @@
         self.assertLess(read_clock() - began, 0.1)
         self.assertGreater(self.channel.estimate_wait(1), 0.25)
 
-    def test_place_that_comes_in_time_is_waited_for(self):
+    def test_request_waits_for_a_slot_that_is_free_in_time(self):
         self.assertTrue(self.channel.acquire(1, 0.0))
         self.assertTrue(self.channel.acquire(1, 0.0))
         waiting = gevent.spawn(self.channel.acquire, 1, 5.0)
--- a/tests/daemons/test_upstreamselector.py
+++ b/tests/daemons/test_upstreamselector.py
@@ -95,14 +95,14 @@
             UPSTREAM, 1
         )
 
-    def find(self, **progress):
+    def find_wait(self, **progress):
         self.assertIsNone(
             self.selector.acquire(make_context(True, **progress))
         )
         return self.places.left
 
     def test_first_send_waits_while_its_answer_can_be_in_time(self):
-        self.assertLess(self.find(), OBJECTIVE)
+        self.assertLess(self.find_wait(), OBJECTIVE)
 
     def test_declined_request_waits_no_longer_than_a_new_one(self):
         """A full upstream declined the request, so nothing has run.
@@ -110,25 +110,25 @@
         The caller can be told so and retry. If the request waited on, the
         caller would learn it only near the deadline, too late for a retry.
         """
-        left = self.find(sends=1, outcome=Outcome.NOT_RUN)
+        left = self.find_wait(sends=1, outcome=Outcome.NOT_RUN)
         self.assertLess(left, OBJECTIVE)
 
     def test_request_that_may_have_run_waits_for_an_answer(self):
         # Only an answer can tell its caller whether it ran.
-        left = self.find(sends=1, outcome=Outcome.UNKNOWN)
+        left = self.find_wait(sends=1, outcome=Outcome.UNKNOWN)
         self.assertGreater(left, OBJECTIVE)
 
 
 class FakePlaces:
     """Gives the same result for every place and records the arguments."""
 
-    def __init__(self, answer):
-        self.answer = answer
+    def __init__(self, result):
+        self.result = result
         self.asked = []
 
     def acquire(self, upstream, priority, left, cold_bound=None, limit=None):
         self.asked.append((upstream.registered_name, cold_bound, left))
-        return self.answer
+        return self.result
 
 
 class TestCold(testtools.TestCase):
@@ -150,8 +150,8 @@
         self.deployment.directory.put(entry, read_clock())
         return entry
 
-    def find(self, answer, keyed=False):
-        self.places = FakePlaces(answer)
+    def acquire(self, result, keyed=False):
+        self.places = FakePlaces(result)
         selector = UpstreamSelector(
             self.deployment,
             UpstreamChannels(1000),
@@ -168,19 +168,19 @@
 
     def test_lender_is_asked_for_each_send(self):
         place = Place(lambda *_: None)
-        self.assertIs(place, self.find(place).place)
+        self.assertIs(place, self.acquire(place).place)
         self.assertEqual([("map-1", 7, 0.0)], self.places.asked)
 
     def test_request_without_key_goes_to_a_warm_one_instead(self):
         # Both are idle, and the cold one has reached its limit.
         self.put("map-2", 0.0)
         for _ in range(20):
-            permit = self.find(PlaceRefused(0.4))
+            permit = self.acquire(PlaceRefused(0.4))
             self.assertEqual("map-2", permit.target.upstream.registered_name)
 
     def test_only_cold_ones_left(self):
         began = read_clock()
-        self.assertIsNone(self.find(PlaceRefused(1.2)))
+        self.assertIsNone(self.acquire(PlaceRefused(1.2)))
         self.assertLess(read_clock() - began, 0.1)
         self.assertEqual(1.2, self.context.retry_after)
 
@@ -191,19 +191,19 @@
         overload the upstream. Nothing is sent until there is a lender or the
         upstream is warm.
         """
-        self.assertIsNone(self.find(None))
-        self.assertIsNone(self.find(None, keyed=True))
+        self.assertIsNone(self.acquire(None))
+        self.assertIsNone(self.acquire(None, keyed=True))
         self.assertEqual("cold", self.context.note)
 
     def test_warm_one_needs_no_lender(self):
         self.put("map-1", 0.0)
-        self.assertIsNotNone(self.find(None))
+        self.assertIsNotNone(self.acquire(None))
         self.assertEqual([], self.places.asked)
 
     def test_service_without_a_bound(self):
         rule = msgspec.structs.replace(self.rule, cold_rate=None)
         self.deployment.policy = Policy(Version(1), (), {SERVICE: rule})
-        self.assertIsNotNone(self.find(None))
+        self.assertIsNotNone(self.acquire(None))
 
 
 class KnownUpstreamTest(testtools.TestCase):
@@ -294,7 +294,7 @@
         said = StatedLimit(rate, now, now)
         self.deployment.limits.note(UPSTREAM.name, said)
 
-    def test_request_that_waited_asks_again_for_the_limit(self):
+    def test_waiting_request_is_not_sent_after_a_limit(self):
         # Guards against sending with a permit from this host's own window.
         context = make_context(False)
         permit = self.selector.acquire(context)
@@ -313,14 +313,14 @@
             self.assertEqual("limited", context.note)
             self.assertEqual(1.0, context.retry_after)
 
-    def test_caller_hears_when_the_limit_has_room(self):
+    def test_caller_is_told_when_the_limit_has_room(self):
         self.selector._places = FakePlaces(PlaceRefused(3.4))
         self.state_limit(0.3)
         context = make_context(True)
         self.assertIsNone(self.selector.acquire(context))
         self.assertEqual(3.4, context.retry_after)
 
-    def test_request_without_key_goes_to_one_that_names_none(self):
+    def test_request_without_key_goes_to_one_without_a_limit(self):
         self.state_limit(50.0)
         other = msgspec.structs.replace(
             UPSTREAM, registered_name=UpstreamName("map-2")
