--- a/sedgetide/daemons/_frontend.py
+++ b/sedgetide/daemons/_frontend.py
@@ -66,7 +66,7 @@
 def _get_header_name(variable: str) -> str | None:
     """Return the header name of a WSGI variable; None if it is not forwarded.
 
-    Headers with the router's own prefix are dropped, so that callers can not
+    Headers with the router's own prefix are dropped, so that callers cannot
     impersonate the router towards upstreams.
     """
     if variable == "CONTENT_TYPE":
--- a/sedgetide/daemons/_quarantine.py
+++ b/sedgetide/daemons/_quarantine.py
@@ -23,7 +23,8 @@
 from sedgetide.runtime.events import Event
 from sedgetide.runtime.events import log_event
 
-# Seconds; hosts report every 0.4 s.
+# Seconds after its last report for which a host gets broadcasts; hosts report
+# every 0.4 s.
 _REPORTER_TTL = 3.0
 # Minimum seconds between copies sent to one host, and between broadcasts.
 # Copies that differ permanently, for example because one is full, would
--- a/sedgetide/daemons/_upstreamselector.py
+++ b/sedgetide/daemons/_upstreamselector.py
@@ -40,8 +40,8 @@
 # Seconds; by then the lost lender of a rate-limited or cold upstream has been
 # replaced.
 _NO_LENDER_RETRY_DELAY = 1.0
-# Seconds without an answer of the store; a watch without changes is answered
-# sooner.
+# Seconds without an answer after which the store counts as silent. A watch
+# without changes is answered sooner.
 _MAX_STORE_SILENCE = 3.0
 
 
@@ -105,7 +105,7 @@
         self._rng = rng
 
     def acquire(self, context: RequestContext) -> SendPermit | None:
-        """Return a permit for a request; None when it can not be sent."""
+        """Return a permit for a request; None when it cannot be sent."""
         hold_deadline = context.times.find_hold_deadline()
         if context.progress.sends:
             hold_deadline = max(hold_deadline, read_clock() + _RETRY_WAIT)
@@ -202,9 +202,9 @@
         )
 
     def _is_wait_futile(self, wait: Wait, now: float) -> bool:
-        """Return whether waiting in this state can not yield a target."""
+        """Return whether waiting in this state cannot yield a target."""
         if wait is Wait.OWNER_GONE:
-            # While the store is silent the keys can not be reassigned, or
+            # While the store is silent the keys cannot be reassigned, or
             # this host would not learn of it.
             return self._is_store_silent(now)
         return wait is Wait.BACKING_OFF
@@ -222,10 +222,10 @@
             return STORE_SILENT_RETRY_DELAY
         if wait is not Wait.MOVING:
             return STARTUP_RETRY_DELAY
-        moving = self._deployment.find_move_age(
+        move_age = self._deployment.find_move_age(
             context.service, context.fields.key, now
         )
-        return retry_after_move(moving)
+        return retry_after_move(move_age)
 
     def find_backoff(self, context: RequestContext, now: float) -> float:
         """Return for how long all eligible upstreams ask for backoff.
@@ -286,14 +286,14 @@
             table = self._deployment.find_table(context.service)
             return find_owner(table, context.fields.key, directory, now)
         avoided = self._deployment.backoffs.list_active(now)
-        candidates = list_candidates(
+        upstreams = list_candidates(
             directory,
             context.service,
             context.progress.tried,
             now,
             avoided.union(declined),
         )
-        if not candidates:
+        if not upstreams:
             if not declined and self.find_backoff(context, now) > 0.0:
                 return Wait.BACKING_OFF
             return Wait.NO_UPSTREAM
@@ -303,11 +303,11 @@
         crossing = compute_crossing_cost(
             size, context.times.objective - context.times.began
         )
-        described = [
+        candidates = [
             self._make_candidate(upstream, crossing, now)
-            for upstream in candidates
+            for upstream in upstreams
         ]
-        return Target(choose_upstream(described, self._rng))
+        return Target(choose_upstream(candidates, self._rng))
 
     def _make_candidate(
         self, upstream: RegisteredUpstream, crossing: float, now: float
--- a/tests/daemons/test_pushback.py
+++ b/tests/daemons/test_pushback.py
@@ -23,11 +23,13 @@
 from sedgetide.testing.soakpushback import find_ignored
 
 CALLERS = 14
+# Numbers of two upstreams: of a service with keys, and of one without.
 KEYED, PLAIN = 0, 4
 # Seconds after the start of an upstream from which on it applies pushback.
 PUSHBACK_AT = 4.0
 # Requests a second.
 LIMITS = {KEYED: 2.2, PLAIN: 1.3}
+# Seconds for which the callers of a test run.
 LIMITED_FOR = 15.0
 LEAVING_FOR = 10.0
 BACKOFF_FOR = 12.0
--- a/tests/daemons/test_trials.py
+++ b/tests/daemons/test_trials.py
@@ -134,7 +134,7 @@
         self.assertLess(time.monotonic() - began, 0.05)
 
     def test_caller_that_leaves_lets_the_next_copy_run(self):
-        # Guards against a trial that a caller that left keeps forever.
+        # Guards against a trial that stays open after its caller has left.
         trials = self.net.hosts[1].trials
 
         def run():
--- a/tests/daemons/test_upstreamselector.py
+++ b/tests/daemons/test_upstreamselector.py
@@ -150,7 +150,7 @@
         self.deployment.directory.put(entry, read_clock())
         return entry
 
-    def acquire(self, result, keyed=False):
+    def acquire_permit(self, result, keyed=False):
         self.places = FakePlaces(result)
         selector = UpstreamSelector(
             self.deployment,
@@ -168,19 +168,19 @@
 
     def test_lender_is_asked_for_each_send(self):
         place = Place(lambda *_: None)
-        self.assertIs(place, self.acquire(place).place)
+        self.assertIs(place, self.acquire_permit(place).place)
         self.assertEqual([("map-1", 7, 0.0)], self.places.asked)
 
     def test_request_without_key_goes_to_a_warm_one_instead(self):
         # Both are idle, and the cold one has reached its limit.
         self.put("map-2", 0.0)
         for _ in range(20):
-            permit = self.acquire(PlaceRefused(0.4))
+            permit = self.acquire_permit(PlaceRefused(0.4))
             self.assertEqual("map-2", permit.target.upstream.registered_name)
 
     def test_only_cold_ones_left(self):
         began = read_clock()
-        self.assertIsNone(self.acquire(PlaceRefused(1.2)))
+        self.assertIsNone(self.acquire_permit(PlaceRefused(1.2)))
         self.assertLess(read_clock() - began, 0.1)
         self.assertEqual(1.2, self.context.retry_after)
 
@@ -191,19 +191,19 @@
         overload the upstream. Nothing is sent until there is a lender or the
         upstream is warm.
         """
-        self.assertIsNone(self.acquire(None))
-        self.assertIsNone(self.acquire(None, keyed=True))
+        self.assertIsNone(self.acquire_permit(None))
+        self.assertIsNone(self.acquire_permit(None, keyed=True))
         self.assertEqual("cold", self.context.note)
 
     def test_warm_one_needs_no_lender(self):
         self.put("map-1", 0.0)
-        self.assertIsNotNone(self.acquire(None))
+        self.assertIsNotNone(self.acquire_permit(None))
         self.assertEqual([], self.places.asked)
 
     def test_service_without_a_bound(self):
         rule = msgspec.structs.replace(self.rule, cold_rate=None)
         self.deployment.policy = Policy(Version(1), (), {SERVICE: rule})
-        self.assertIsNotNone(self.acquire(None))
+        self.assertIsNotNone(self.acquire_permit(None))
 
 
 class KnownUpstreamTest(testtools.TestCase):
@@ -242,7 +242,7 @@
         self.assertFalse(self.selector.may_send(context, permit))
         self.assertFalse(self.selector.may_send(make_context(True), permit))
 
-    def test_caller_is_refused_at_once_while_its_key_can_not_move(self):
+    def test_caller_is_refused_at_once_while_its_key_cannot_move(self):
         # Guards against holding callers for a new owner while the store is
         # silent and none can be assigned.
         self.deployment.note_leaving(UPSTREAM.name)
@@ -291,8 +291,8 @@
 
     def state_limit(self, rate):
         now = read_clock()
-        said = StatedLimit(rate, now, now)
-        self.deployment.limits.note(UPSTREAM.name, said)
+        stated_limit = StatedLimit(rate, now, now)
+        self.deployment.limits.note(UPSTREAM.name, stated_limit)
 
     def test_waiting_request_is_not_sent_after_a_limit(self):
         # Guards against sending with a permit from this host's own window.
