--- a/tests/daemons/test_quarantine.py
+++ b/tests/daemons/test_quarantine.py
@@ -164,7 +164,7 @@
         self.assertEqual(before, self.net.delivered)
 
 
-class TestCutHealed(testtools.TestCase):
+class TestPartitionHealed(testtools.TestCase):
     """A third of the hosts was cut off, and each detected other losses.
 
     Without a leader their copies differed from each other and from the
@@ -222,7 +222,7 @@
         self.assertEqual(1, len(versions))
         self.assertLess(self.net.leader_bytes, 4 * self.MAX_SEND_RATE)
 
-    def test_leader_sends_what_a_link_carries(self):
+    def test_leader_sends_no_more_than_a_link_carries(self):
         # More losses than a copy can hold, while more upstreams end and
         # innocent requests are cleared by ending well on other hosts.
         self.cut_and_heal(60, 4)
