--- a/sedgetide/daemons/_upstreamselector.py
+++ b/sedgetide/daemons/_upstreamselector.py
@@ -37,8 +37,8 @@
 # Seconds for which a retry may wait, however long the request has waited
 # before.
 _RETRY_WAIT = 0.1
-# Retry-After in seconds while a rate-limited or cold upstream has no lender. By
-# then a lost lender has been replaced.
+# Retry-After in seconds while a rate-limited or cold upstream has no lender.
+# By then a lost lender has been replaced.
 _NO_LENDER_RETRY_DELAY = 1.0
 # Seconds without an answer after which the store counts as silent. A watch
 # without changes is answered sooner.
