--- a/sedgetide/testing/ownershipworld.py
+++ b/sedgetide/testing/ownershipworld.py
@@ -1,11 +1,11 @@
-"""A walk through faults of range ownership, in simulated time.
-
-Hosts stand, lead, move ranges and renew grants with the product's own
-decisions (:class:`Leadership`, :class:`Term`, :class:`RangeTable`). Around
-them everything fails: the store serves some hosts only, drops the leader's
-record, carries writes out late; hosts stand still or forget everything;
-upstreams can not be reached, take orders late, have slow clocks. One thing
-is judged after each step: no key is held by two upstreams.
+"""Randomized simulation of range ownership under faults, in simulated time.
+
+Simulated hosts stand for election, lead, move ranges and renew grants with
+the production classes (:class:`Leadership`, :class:`Term`,
+:class:`RangeTable`). Injected faults: the store is reachable from some hosts
+only, drops the leader's record or applies writes late; hosts pause or lose
+all state; upstreams are unreachable, apply orders late or have slow clocks.
+After each step it is checked that no key is held by two upstreams.
 """
 
 import collections
@@ -56,80 +56,81 @@
 _PROBES = [Key(LAST_KEY * index // 24) for index in range(25)]
 _FAULT_TIMES = (0.3, 1.0, 2.0, 4.0, 8.0, 16.0, 30.0)
 _NEVER = float("inf")
-# Steps; a copy is some seconds old at the most.
+# One copy is made in each step, so the oldest one is 8 s old.
 _COPIES = 80
 
 
-class _Late(msgspec.Struct):
-    """Something that is carried out later than it was asked for."""
+class _DelayedAction(msgspec.Struct):
+    """An action that is carried out when the clock reaches ``due``."""
 
     due: float
     act: Callable[[], None]
 
 
 class WorldHost:
-    """One host: what it knows, and whether it leads.
+    """State of one simulated host.
 
     Parameters
     ----------
     name : str
-        Its name.
+        Value that it writes to the leader's record.
     durations : Durations
-        Shared by all.
+        Timing parameters, the same for all hosts.
     """
 
     def __init__(self, name: str, durations: Durations) -> None:
         self.name = name
         self.durations = durations
         self.paused_until = 0.0
-        # How often a step brings news; a watch may be silent for long.
-        self.follows = 0.7
-        self.store_away_until = 0.0
+        # Probability that the host reads the store in a step. A low value
+        # stands for a watch that stays silent for long.
+        self.read_probability = 0.7
+        self.store_unreachable_until = 0.0
         self.unreachable: dict[IncarnationName, float] = {}
         self.restart()
 
     def restart(self) -> None:
-        """Forget everything."""
+        """Reset all state, as a restart of the process does."""
         self.leadership = Leadership(self.durations)
         self.term: Term | None = None
         self.lease: LeaseId = NO_LEASE
         self.table = RangeTable()
         self.position: Position = NO_POSITION
         self.recovery: Recovery | None = None
-        self.sightings = MoveObservations()
+        self.observations = MoveObservations()
         self.verified_at = -_NEVER
         self.renewed_at: dict[IncarnationName, float] = {}
 
     def note_era(self, era: Era) -> None:
-        """Take in the era of an answer of the store."""
+        """Record the era that an answer of the store names."""
         self.leadership.note_era(era)
 
     def owns_table(self) -> bool:
-        """Tell whether the table was written in the era of the term."""
+        """Return whether the table was written in the era of the term."""
         return self.position.era == self.leadership.term.era
 
     def adopt(self, table: RangeTable, position: Position, now: float) -> None:
-        """Take in a version of the table."""
+        """Replace the table unless the version is an older one."""
         if position <= self.position:
             return
         self.table = table
         self.position = position
-        self.sightings.note_table(table, now)
+        self.observations.note_table(table, now)
 
 
 class OwnershipWorld:
-    """Hosts, upstreams and the store, and the faults between them.
+    """Simulation of hosts, upstreams and the store with injected faults.
 
     Parameters
     ----------
     seed : int
-        Decides all that happens.
+        Seed of the random number generator behind all events.
     hosts, upstreams : int
-        How many.
+        Number of hosts and of upstreams.
     durations : Durations
-        On which single ownership rests.
+        Timing parameters that single ownership depends on.
     returns : bool
-        Whether the store comes back from older copies.
+        Whether the store is also restored from older copies.
     """
 
     def __init__(
@@ -138,7 +139,7 @@
         hosts: int = 3,
         upstreams: int = 3,
         durations: Durations | None = None,
-        returns: bool = False,
+        with_restores: bool = False,
     ) -> None:
         self.random = random.Random(seed)
         self.now = 1000.0
@@ -152,47 +153,49 @@
             for index in range(upstreams)
         }
         self.problems: list[str] = []
-        self.moves_ended = 0
-        self._late: list[_Late] = []
+        self.moves_completed = 0
+        self._delayed: list[_DelayedAction] = []
         self._copies: collections.deque[tuple[float, StoreCopy]] = (
             collections.deque(maxlen=_COPIES)
         )
         self._faults = [
             self._pause,
             self._restart,
-            self._hide_store,
+            self._cut_host_from_store,
             self._stop_store,
             self._revoke,
-            self._hide_upstream,
+            self._isolate_upstream,
             self._cut_from_upstream,
-            self._slow_news,
+            self._change_read_probability,
         ]
-        if returns:
+        if with_restores:
             self._faults += [self._restore, self._restore, self._restart_all]
 
     # Time
 
     def run(self, seconds: float) -> None:
-        """Let time pass, with faults; stop at the first problem."""
+        """Advance the simulation; stop at the first violation."""
         end = self.now + seconds
         while self.now < end and not self.problems:
             self.now += STEP
             self.store.expire(self.now)
             self._copies.append((self.now, self.store.copy()))
-            self._carry_out()
-            self._strike()
+            self._run_delayed_actions()
+            self._start_random_fault()
             for host in self.hosts:
                 if self.now >= host.paused_until:
                     self._step(host)
-            self._judge()
+            self._check_ownership()
 
-    def _carry_out(self) -> None:
-        due = [late for late in self._late if late.due <= self.now]
-        self._late = [late for late in self._late if late.due > self.now]
-        for late in due:
-            late.act()
+    def _run_delayed_actions(self) -> None:
+        due = [action for action in self._delayed if action.due <= self.now]
+        self._delayed = [
+            action for action in self._delayed if action.due > self.now
+        ]
+        for action in due:
+            action.act()
 
-    def _judge(self) -> None:
+    def _check_ownership(self) -> None:
         for key in _PROBES:
             holding = [
                 name
@@ -206,8 +209,8 @@
 
     # Faults
 
-    def _strike(self) -> None:
-        """Let a fault begin now and then."""
+    def _start_random_fault(self) -> None:
+        """Start a random fault in 4 % of the steps."""
         if self.random.random() > 0.04:
             return
         host = self.random.choice(self.hosts)
@@ -221,26 +224,28 @@
         host.restart()
         host.paused_until = self.now + self.random.uniform(0.2, 2.0)
 
-    def _hide_store(self, host: WorldHost, until: float) -> None:
-        host.store_away_until = until
+    def _cut_host_from_store(self, host: WorldHost, until: float) -> None:
+        host.store_unreachable_until = until
 
     def _stop_store(self, _: WorldHost, until: float) -> None:
         for host in self.hosts:
-            host.store_away_until = until
+            host.store_unreachable_until = until
 
     def _restore(self, *_: object) -> None:
-        """Have the store come back from a copy, after a moment or at once."""
-        away = self.random.choice((0.0, 0.0, 0.3, 1.0, 3.0))
+        """Restore the store from a copy, at once or after an outage."""
+        outage = self.random.choice((0.0, 0.0, 0.3, 1.0, 3.0))
         copy = self.random.choice(self._copies)[1]
         for host in self.hosts:
-            host.store_away_until = max(host.store_away_until, self.now + away)
-        self._delay(away, lambda: self.store.restore(copy, self.now))
+            host.store_unreachable_until = max(
+                host.store_unreachable_until, self.now + outage
+            )
+        self._delay(outage, lambda: self.store.restore(copy, self.now))
 
     def _restart_all(self, *_: object) -> None:
         for host in self.hosts:
             self._restart(host, 0.0)
 
-    def _hide_upstream(self, _: WorldHost, until: float) -> None:
+    def _isolate_upstream(self, _: WorldHost, until: float) -> None:
         name = self.random.choice(list(self.holders))
         for host in self.hosts:
             host.unreachable[name] = until
@@ -249,11 +254,11 @@
         name = self.random.choice(list(self.holders))
         host.unreachable[name] = until
 
-    def _slow_news(self, host: WorldHost, _: float) -> None:
-        host.follows = self.random.choice((0.0, 0.02, 0.7))
+    def _change_read_probability(self, host: WorldHost, _: float) -> None:
+        host.read_probability = self.random.choice((0.0, 0.02, 0.7))
 
     def _revoke(self, *_: object) -> None:
-        """Take the leader's record away while its lease goes on."""
+        """Delete the leader's record while its lease stays valid."""
         for host in self.hosts:
             if host.lease != NO_LEASE:
                 self.store.revoke(host.lease, forget=False)
@@ -261,16 +266,16 @@
     # One host
 
     def _step(self, host: WorldHost) -> None:
-        reached = self.now >= host.store_away_until
-        if reached and self.random.random() < host.follows:
-            self._follow(host)
+        reached = self.now >= host.store_unreachable_until
+        if reached and self.random.random() < host.read_probability:
+            self._read_tables(host)
         leadership = host.leadership
         if leadership.era_ended and not leadership.may_order(self.now):
             leadership.end()
         if leadership.term == NO_POSITION:
             vacant = self.store.find(make_leader_key(self.store.era)) is None
             if reached and vacant:
-                self._stand(host)
+                self._stand_for_election(host)
             return
         due = self.now - host.verified_at >= self.durations.verify
         if reached and due and not leadership.era_ended:
@@ -278,8 +283,8 @@
         if leadership.may_order(self.now):
             self._lead(host)
 
-    def _follow(self, host: WorldHost) -> None:
-        """Read all tables that the store has; older ones are hints."""
+    def _read_tables(self, host: WorldHost) -> None:
+        """Read all tables in the store, also those of earlier eras."""
         host.note_era(self.store.era)
         for item in self.store.list("").items:
             name = parse_key(item.key)
@@ -287,7 +292,7 @@
                 written_at = Position(name.era, item.position.revision)
                 host.adopt(decode_ranges(item.value), written_at, self.now)
 
-    def _stand(self, host: WorldHost) -> None:
+    def _stand_for_election(self, host: WorldHost) -> None:
         if self.random.random() < 0.7:
             return
         key = make_leader_key(self.store.era)
@@ -302,7 +307,7 @@
         host.term = Term(host.leadership, self.durations)
         host.renewed_at.clear()
         host.recovery = Recovery(self.now, host.term.inherited_until)
-        self._follow(host)
+        self._read_tables(host)
 
     def _verify(self, host: WorldHost) -> None:
         host.verified_at = self.now
@@ -318,14 +323,14 @@
         position = NO_POSITION if item is None else item.position
         asked_at = self.now
         leadership = host.leadership
-        # The answer is on its way for a while.
+        # The answer arrives up to 0.4 s later.
         self._delay(
             self.random.uniform(0.0, 0.4),
             lambda: leadership.note_read(position, asked_at),
         )
 
     def _delay(self, seconds: float, act: Callable[[], None]) -> None:
-        self._late.append(_Late(self.now + seconds, act))
+        self._delayed.append(_DelayedAction(self.now + seconds, act))
 
     def _lead(self, host: WorldHost) -> None:
         if not host.owns_table() and not self._recover(host):
@@ -342,7 +347,7 @@
                     self._grant(host, name, tenure)
 
     def _recover(self, host: WorldHost) -> bool:
-        """Begin the table of an era; return whether it is there."""
+        """Write the first table of an era; return whether it is written."""
         if host.leadership.era_ended:
             return False
         era = host.leadership.term.era
@@ -354,7 +359,7 @@
         for name in recovery.list_pending_releases(self.holders, self.now):
             reached = self.now >= host.unreachable.get(name, 0.0)
             if reached and self.random.random() < 0.4:
-                self._give_back(host, name, Fence(first + 1))
+                self._release_all(host, name, Fence(first + 1))
         if recovery.is_over(self.holders, self.now):
             for name in recovery.list_released():
                 host.term.note_release(name, ALL_KEYS)
@@ -366,7 +371,7 @@
             self._write(host, table)
         return host.owns_table()
 
-    def _give_back(
+    def _release_all(
         self, host: WorldHost, name: IncarnationName, fence: Fence
     ) -> None:
         holder = self.holders[name]
@@ -396,8 +401,8 @@
             self._write(host, moved.merge())
 
     def _write(self, host: WorldHost, table: RangeTable) -> None:
-        """Write a table; the answer, or the write itself, may be late."""
-        if self.now < host.store_away_until:
+        """Write a table; the answer may be lost or the write delayed."""
+        if self.now < host.store_unreachable_until:
             return
         term = host.leadership.term
         expected = host.position if host.owns_table() else NO_POSITION
@@ -425,7 +430,7 @@
     # Orders
 
     def _move(self, host: WorldHost, tenure: Tenure) -> None:
-        since = host.sightings.find_known_since(tenure)
+        since = host.observations.find_known_since(tenure)
         if host.term.has_ended(tenure.owner, tenure.keys, since, self.now):
             self._complete(host, tenure)
         elif self.random.random() < 0.4:
@@ -449,7 +454,7 @@
         self._grant(host, tenure.successor, tenure)
         done = host.table.complete([tenure])
         if done != host.table:
-            self.moves_ended += 1
+            self.moves_completed += 1
             self._write(host, done)
 
     def _grant(
@@ -464,10 +469,10 @@
             return
         self._delay(
             self.random.choice((0.0, 0.0, 0.0, 0.3, 0.9)),
-            lambda: self._arrive(term, name, tenure, grant),
+            lambda: self._deliver_grant(term, name, tenure, grant),
         )
 
-    def _arrive(
+    def _deliver_grant(
         self,
         term: Term,
         name: IncarnationName,
@@ -478,11 +483,11 @@
         arrived_at = self.now
         life = grant.life * _SLOW_CLOCK
 
-        def carry_out() -> None:
+        def apply_grant() -> None:
             holder.grant(tenure.keys, tenure.fence, life, arrived_at)
 
         if self.random.random() < 0.15:
-            self._delay(self.random.uniform(0.5, 9.0), carry_out)
+            self._delay(self.random.uniform(0.5, 9.0), apply_grant)
         else:
-            carry_out()
+            apply_grant()
         term.note_arrival(grant, arrived_at)
--- a/tests/testing/test_ownershipworld.py
+++ b/tests/testing/test_ownershipworld.py
@@ -1,4 +1,8 @@
-"""Tests of single ownership over a walk through faults, and of the walk."""
+"""Tests of single ownership in the simulation, and of the simulation.
+
+The second class removes one safeguard at a time and checks that the
+simulation then detects two owners of a key.
+"""
 
 from unittest import mock
 
@@ -19,40 +23,41 @@
 SECONDS = 120.0
 
 
-def walk(seeds=SEEDS, returns=False):
-    """Return the first problem of any walk, and the moves that ended."""
+def simulate(seeds=SEEDS, with_restores=False):
+    """Return the first violation of any run, and the count of done moves."""
     moves = 0
     for seed in seeds:
-        world = OwnershipWorld(seed, returns=returns)
+        world = OwnershipWorld(seed, with_restores=with_restores)
         world.run(SECONDS)
-        moves += world.moves_ended
+        moves += world.moves_completed
         if world.problems:
             return f"seed {seed}: {world.problems[0]}", moves
     return None, moves
 
 
 class TestWalk(testtools.TestCase):
-    """No two upstreams ever hold one key."""
+    """No two upstreams hold the same key at the same time."""
 
     def test_single_ownership(self):
-        problem, moves = walk()
+        problem, moves = simulate()
         self.assertIsNone(problem)
-        # A walk in which nothing moves proves nothing.
+        # Without moves the simulation would not exercise ownership changes.
         self.assertGreater(moves, 1000)
 
     def test_single_ownership_across_returns_of_the_store(self):
-        # Guards against a leader that takes what a copy shows for the owner.
-        problem, moves = walk(returns=True)
+        # Guards against a leader that treats the owner named in a restored
+        # copy as the current one.
+        problem, moves = simulate(with_restores=True)
         self.assertIsNone(problem)
         self.assertGreater(moves, 500)
 
 
 class TestSafeguards(testtools.TestCase):
-    """Without any one of the safeguards the walk finds two owners."""
+    """Without any one of the safeguards the simulation finds two owners."""
 
-    def check_found(self, owner, name, replacement, returns=False):
+    def check_found(self, owner, name, replacement, with_restores=False):
         with mock.patch.object(owner, name, replacement):
-            problem, _ = walk(MUTATION_SEEDS, returns)
+            problem, _ = simulate(MUTATION_SEEDS, with_restores)
         self.assertIsNotNone(problem)
 
     def test_old_owner_not_waited_for(self):
@@ -71,26 +76,27 @@
         self.check_found(Leadership, "bound_inherited", bound)
 
     def test_no_look_at_the_clock_before_an_order(self):
-        def believe(leadership, now):
+        def assume_leading(leadership, now):
             return leadership.term != 0
 
-        self.check_found(Leadership, "may_order", believe)
+        self.check_found(Leadership, "may_order", assume_leading)
 
     def test_renewal_taken_for_the_proof(self):
-        # The store drops the record and renews the lease all the same.
-        def trust(leadership, revision, asked_at):
+        # Counts the renewal of the lease as proof of leadership, although
+        # the store may drop the leader's record and still renew its lease.
+        def accept_any_read(leadership, revision, asked_at):
             leadership._proved_at = max(leadership._proved_at, asked_at)
             return True
 
-        self.check_found(Leadership, "note_read", trust)
+        self.check_found(Leadership, "note_read", accept_any_read)
 
     def test_move_taken_for_known_as_soon_as_it_is_seen(self):
-        # The answer to the write of a move is lost, and the leader's watch
-        # is silent: it goes on renewing the old owner. Its successor, which
-        # has seen the move long ago, waits for nothing.
-        def note(sightings, table, now):
-            since = sightings._known_since
-            sightings._known_since = {
+        # The answer to the write of a move is lost and the leader's watch is
+        # silent, so it goes on renewing the old owner. The next leader saw
+        # the move long ago and does not wait for those grants to expire.
+        def note(observations, table, now):
+            since = observations._known_since
+            observations._known_since = {
                 tenure: since.get(tenure, now)
                 for tenure in table.list_moving()
             }
@@ -120,7 +126,7 @@
 
     def test_keys_not_given_back_at_the_beginning_of_an_era(self):
         over = mock.Mock(return_value=True)
-        self.check_found(Recovery, "is_over", over, returns=True)
+        self.check_found(Recovery, "is_over", over, with_restores=True)
 
     def test_one_upstream_not_asked_for_its_keys(self):
         real = Recovery.is_over
@@ -128,10 +134,10 @@
         def is_over(recovery, upstreams, now):
             return real(recovery, list(upstreams)[1:], now)
 
-        self.check_found(Recovery, "is_over", is_over, returns=True)
+        self.check_found(Recovery, "is_over", is_over, with_restores=True)
 
     def test_fences_of_an_era_given_out_again(self):
         zero = mock.Mock(return_value=0)
         self.check_found(
-            ownershipworld, "find_first_fence", zero, returns=True
+            ownershipworld, "find_first_fence", zero, with_restores=True
         )
