--- a/sedgetide/testing/losses.py
+++ b/sedgetide/testing/losses.py
@@ -113,7 +113,7 @@
     folder : pathlib.Path
         Where settings and output of the processes go.
     """
-    fleet = Fleet(folder, late=0.0)
+    fleet = Fleet(folder, late_grants=0.0)
     try:
         fleet.start()
         gevent.sleep(_SETTLED)
--- a/sedgetide/testing/rangeupstream.py
+++ b/sedgetide/testing/rangeupstream.py
@@ -23,8 +23,8 @@
 from sedgetide.core.ownership.ranges import KeyRange
 from sedgetide.platform import _names
 from sedgetide.runtime.signals import ChangeSignal
-from sedgetide.testing.coldness import Coldness
-from sedgetide.testing.coldness import Pace
+from sedgetide.testing.coldstart import ColdStart
+from sedgetide.testing.coldstart import Slowdown
 from sedgetide.testing.rangeholder import RangeHolder
 from sedgetide.testing.remarks import BACKOFF
 from sedgetide.testing.remarks import make_headers
@@ -117,8 +117,8 @@
         self._ended = ChangeSignal()
         self._random = random.Random(options.name)
         self._registry = ConnectionPool(options.store, 65536)
-        self._coldness = Coldness(options.cold, options.most_cold)
-        self._pace = Pace(options.name, options.cold > 0)
+        self._cold_start = ColdStart(options.cold, options.most_cold)
+        self._slowdown = Slowdown(options.name, options.cold > 0)
         self._script = Script(options.says)
         self._leaving = Leaving.NO
         self._heard = False
@@ -177,18 +177,18 @@
             answer = Answer(503, [_NOT_RUN])
         else:
             answer = self._take_request(request)
-        words = self._script.list_words(time.monotonic())
+        values = self._script.list_values(time.monotonic())
         if answer.status != 503:
-            words.pop(BACKOFF, None)
-        self._tell(SAID, number, -1, 0, words)
-        headers = [*answer.headers, *make_headers(words)]
+            values.pop(BACKOFF, None)
+        self._tell(SAID, number, -1, 0, values)
+        headers = [*answer.headers, *make_headers(values)]
         return Answer(answer.status, headers, answer.body)
 
     def _take_request(self, request: Request) -> Answer:
         number = find_header(request.headers, _names.REQUEST_ID.lower())
         if number is None:
             return Answer(400, [_NOT_RUN])
-        if self._coldness.is_flooded(time.monotonic()):
+        if self._cold_start.is_flooded(time.monotonic()):
             self._tell(FLOODED, number, -1, 0)
             os._exit(CRASHED)
         if self._waiting >= _QUEUE:
@@ -235,18 +235,20 @@
             body,
         )
 
-    def _find_pace(self) -> float:
+    def _find_slowdown(self) -> float:
         now = time.monotonic()
-        return self._pace.find(now, self._coldness.find_left(now) > 0)
+        return self._slowdown.find(
+            now, self._cold_start.find_remaining(now) > 0
+        )
 
     def _draw_work(self) -> float:
         work = self._random.expovariate(1 / self._options.work)
-        return work * self._find_pace()
+        return work * self._find_slowdown()
 
     def _describe_load(self) -> str:
-        pace = int(100 * self._find_pace())
+        slowdown = int(100 * self._find_slowdown())
         slots = self._options.slots
-        return f"{self._running},{self._waiting},{slots},{pace}"
+        return f"{self._running},{self._waiting},{slots},{slowdown}"
 
     def _tell(
         self,
@@ -282,7 +284,7 @@
             "born": options.born,
         }
         while True:
-            left = self._coldness.find_left(time.monotonic())
+            left = self._cold_start.find_remaining(time.monotonic())
             entry["status"]["warmup-left-ms"] = int(left * 1000)
             if self._leaving is Leaving.DRAINING:
                 entry["status"]["state"] = "draining"
--- a/sedgetide/testing/remarks.py
+++ b/sedgetide/testing/remarks.py
@@ -1,7 +1,8 @@
-"""What a stand-in says of itself in its answers, by the time since its start.
+"""Scripted pushback headers in the answers of a simulated upstream.
 
-A script is made of lines ``SECONDS:KIND:VALUE``: from so many seconds after
-the start on, each answer carries the value; an empty one ends it.
+A script consists of lines ``SECONDS:KIND:VALUE``. From that many seconds
+after the start on, each answer carries the value in the header of its kind;
+an empty value removes the header.
 """
 
 from collections.abc import Mapping
@@ -12,7 +13,7 @@
 
 LIMIT = "limit"
 LEAVING = "leaving"
-# Seconds; while it is said, every request is turned away.
+# The value is in seconds; while it is set, every request is refused.
 BACKOFF = "backoff"
 _HEADERS = {
     LIMIT: _names.LIMIT,
@@ -22,28 +23,28 @@
 
 
 class Script:
-    """Decides what stands in an answer at a moment.
+    """Values to put into answers, by the time since the start.
 
     Parameters
     ----------
     lines : sequence of str
-        See the module.
+        Lines in the format that the module's docstring describes.
     """
 
     def __init__(self, lines: Sequence[str]) -> None:
         self._began = time.monotonic()
-        self._lines = sorted(map(_read_line, lines))
+        self._lines = sorted(map(_parse_line, lines))
 
     def find(self, kind: str, now: float) -> str:
-        """Return the value of a kind; empty when it is not said."""
+        """Return the current value of a kind; empty when it has none."""
         found = ""
         for at, each, value in self._lines:
             if each == kind and self._began + at <= now:
                 found = value
         return found
 
-    def list_words(self, now: float) -> dict[str, str]:
-        """Return what an answer says that is written now."""
+    def list_values(self, now: float) -> dict[str, str]:
+        """Return the current value of each kind that has one."""
         said = {kind: self.find(kind, now) for kind in _HEADERS}
         return {kind: value for kind, value in said.items() if value}
 
@@ -51,12 +52,12 @@
         return bool(self._lines)
 
 
-def make_headers(words: Mapping[str, str]) -> list[tuple[str, str]]:
-    """Return words as the headers of an answer."""
-    return [(_HEADERS[kind], value) for kind, value in words.items()]
+def make_headers(values: Mapping[str, str]) -> list[tuple[str, str]]:
+    """Return the values as headers of an answer."""
+    return [(_HEADERS[kind], value) for kind, value in values.items()]
 
 
-def _read_line(line: str) -> tuple[float, str, str]:
+def _parse_line(line: str) -> tuple[float, str, str]:
     seconds, kind, value = line.split(":", 2)
     if kind not in _HEADERS:
         raise ValueError(f"{kind!r}: accepted are {sorted(_HEADERS)}")
--- a/sedgetide/testing/soakcallers.py
+++ b/sedgetide/testing/soakcallers.py
@@ -1,4 +1,4 @@
-"""Callers of a soak, who remember what they were told."""
+"""Callers of a soak, which record their requests and the answers."""
 
 import random
 import time
@@ -18,32 +18,32 @@
 
 DEADLINE = 1.5
 DEADLY_PATH = "/map/deadly"
-DEADLY_NAMES = "deadly-"
-_DEADLY_EVERY = 0.6
-# Seconds; longer than hosts may need to know of a loss.
-_TOGETHER_EVERY = 3.2
-_RECONNECT = 0.03
+DEADLY_ID_PREFIX = "deadly-"
+_DEADLY_INTERVAL = 0.6
+# Seconds; longer than all hosts may take to learn of a lost upstream.
+_SYNCHRONIZED_INTERVAL = 3.2
+_RECONNECT_PROBABILITY = 0.03
 
 
-class Ask(msgspec.Struct):
-    """One request of a caller and what came of it.
+class RequestRecord(msgspec.Struct):
+    """One request of a caller and its outcome.
 
     Parameters
     ----------
     number : str
-        Its id.
+        Id of the request.
     unsafe : bool
         Whether it may run at most once.
     at : float
-        When it was sent.
+        Time at which it was sent.
     host : int
-        Host that it was sent to.
+        Index of the host that it was sent to.
     status : int
-        Status of its answer; 0 when the connection gave none.
+        Status of the answer; 0 when the connection returned none.
     whole : bool
-        Whether a 2xx was the upstream's own whole answer.
+        Whether a 2xx was the complete answer to this request.
     retry_after : float
-        Seconds after which it was told to come again.
+        Value of Retry-After in the answer, in seconds; 0 when absent.
     """
 
     number: str
@@ -56,7 +56,7 @@
 
 
 class Caller:
-    """Sends requests one after the other, on connections that it keeps."""
+    """Sends requests one after the other on kept-alive connections."""
 
     def __init__(self, number: int, fleet: Fleet, seed: int) -> None:
         self.number = number
@@ -64,59 +64,59 @@
         self._random = random.Random(f"{seed}/{number}")
         self._connection: Connection | None = None
         self._host = 0
-        self.asked: list[Ask] = []
+        self.asked: list[RequestRecord] = []
 
     def run(self) -> None:
-        """Ask until killed."""
+        """Send requests until this greenlet is killed."""
         while True:
-            self._ask()
+            self._send_one()
             gevent.sleep(self._random.uniform(0.0, 0.08))
 
-    def _ask(self) -> None:
+    def _send_one(self) -> None:
         route = self._random.choice(("map", "map", "alert", "archive"))
-        ask = Ask(
+        record = RequestRecord(
             f"r-{self.number}-{len(self.asked)}",
             route == "alert",
             time.monotonic(),
             self._host,
         )
-        self.asked.append(ask)
-        answer = self._send(self._make_request(ask, route))
+        self.asked.append(record)
+        answer = self._send(self._make_request(record, route))
         if answer is None:
             return
-        ask.status = answer.status
-        ask.retry_after = float(
+        record.status = answer.status
+        record.retry_after = float(
             find_header(answer.headers, "retry-after") or 0
         )
         if 200 <= answer.status < 300:
-            ask.whole = _is_whole(ask, answer)
+            record.whole = _is_whole(record, answer)
 
-    def _make_request(self, ask: Ask, route: str) -> Request:
+    def _make_request(self, record: RequestRecord, route: str) -> Request:
         busy = self._random.random() < 0.5
         key = self._random.randrange(300 if busy else LAST_KEY + 1)
         headers = [
             ("Host", HOST),
-            (_names.REQUEST_ID, ask.number),
+            (_names.REQUEST_ID, record.number),
             (_names.DEADLINE_MS, str(int(DEADLINE * 1000))),
         ]
         if route != "archive":
             headers.append((_names.SHARD_KEY, str(key)))
-        method = "POST" if ask.unsafe else "GET"
+        method = "POST" if record.unsafe else "GET"
         return Request(method, f"/{route}/x", headers, b"")
 
     def _send(self, request: Request) -> Answer | None:
         try:
-            if self._random.random() < _RECONNECT:
-                self._leave()
+            if self._random.random() < _RECONNECT_PROBABILITY:
+                self._disconnect()
             if self._connection is None or not self._connection.usable:
                 self._connect()
             self.asked[-1].host = self._host
             return self._connection.exchange(request, DEADLINE + 0.5)
         except UpstreamError:
-            self._leave()
+            self._disconnect()
             return None
 
-    def _leave(self) -> None:
+    def _disconnect(self) -> None:
         if self._connection is not None:
             self._connection.close()
         self._connection = None
@@ -129,46 +129,49 @@
 
 
 class DeadlyCaller(Caller):
-    """Repeats a read that crashes whoever runs it, at any host.
+    """Repeats a safe request that crashes each upstream, at random hosts.
 
     Parameters
     ----------
     number, fleet, seed
-        As of any caller.
-    together : bool
-        Whether all such callers ask in the same moments.
+        See :class:`Caller`.
+    synchronized : bool
+        Whether all such callers send at the same moments.
     """
 
     def __init__(
-        self, number: int, fleet: Fleet, seed: int, together: bool
+        self, number: int, fleet: Fleet, seed: int, synchronized: bool
     ) -> None:
         super().__init__(number, fleet, seed)
-        self._together = together
+        self._synchronized = synchronized
 
-    def _ask(self) -> None:
-        self._leave()
-        ask = Ask(
-            f"{DEADLY_NAMES}{self.number}-{len(self.asked)}",
+    def _send_one(self) -> None:
+        self._disconnect()
+        record = RequestRecord(
+            f"{DEADLY_ID_PREFIX}{self.number}-{len(self.asked)}",
             False,
             time.monotonic(),
             self._host,
         )
-        self.asked.append(ask)
+        self.asked.append(record)
         headers = [
             ("Host", HOST),
-            (_names.REQUEST_ID, ask.number),
+            (_names.REQUEST_ID, record.number),
             (_names.DEADLINE_MS, str(int(DEADLINE * 1000))),
             (_names.SHARD_KEY, "7"),
         ]
         answer = self._send(Request("GET", DEADLY_PATH, headers, b""))
-        ask.status = 0 if answer is None else answer.status
-        pause = _DEADLY_EVERY
-        if self._together:
-            pause = _TOGETHER_EVERY - time.monotonic() % _TOGETHER_EVERY
+        record.status = 0 if answer is None else answer.status
+        pause = _DEADLY_INTERVAL
+        if self._synchronized:
+            pause = (
+                _SYNCHRONIZED_INTERVAL
+                - time.monotonic() % _SYNCHRONIZED_INTERVAL
+            )
         gevent.sleep(pause)
 
 
-def _is_whole(ask: Ask, answer: Answer) -> bool:
+def _is_whole(record: RequestRecord, answer: Answer) -> bool:
     signature = find_header(answer.headers, _names.SIGNATURE.lower())
-    mine = answer.body.startswith(f"{ask.number} ".encode())
+    mine = answer.body.startswith(f"{record.number} ".encode())
     return mine and signature == f"{len(answer.body):x}"
--- a/sedgetide/testing/soakevacuations.py
+++ b/sedgetide/testing/soakevacuations.py
@@ -1,4 +1,4 @@
-"""Evacuations and cold starts of a soak: faults drawn, promises checked."""
+"""Evacuations and cold starts of a soak, and checks of them."""
 
 import random
 import time
@@ -10,14 +10,14 @@
 from sedgetide.testing.soakfleet import Fleet
 
 DATA_CENTRES = ("dc-0", "dc-1")
-# Seconds after the acknowledgement, and after the last fault, from which on
-# nothing may reach an evacuated upstream; as the platform grants them.
-ALLOWED = 5.0
-TOUCH = 3.0
+# Seconds after the acknowledgement, and after the last fault, after which no
+# request may reach an evacuated upstream. The platform specifies both.
+ALLOWED_DELAY = 5.0
+RECONNECT_TIME = 3.0
 
 
 class Evacuation(msgspec.Struct):
-    """One wish of the operators, by the machine's monotonic clock."""
+    """Evacuation of a data centre, with times of the monotonic clock."""
 
     data_centre: str
     asked_at: float
@@ -25,32 +25,32 @@
 
 
 class Operator:
-    """Evacuates data centres, and remembers when.
+    """Evacuates data centres and records the times.
 
     Parameters
     ----------
     fleet : Fleet
-        Whose store takes the wishes.
+        Fleet to whose store the evacuations are written.
     """
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
-        self._asked: dict[str, Evacuation] = {}
+        self._active: dict[str, Evacuation] = {}
         self.evacuations: list[Evacuation] = []
 
-    def ask(self, data_centre: str) -> None:
-        """Have a data centre emptied."""
+    def start_evacuation(self, data_centre: str) -> None:
+        """Start the evacuation of a data centre."""
         self._fleet.evacuate(data_centre, True)
-        if data_centre not in self._asked:
-            wish = Evacuation(data_centre, time.monotonic())
-            self._asked[data_centre] = wish
-            self.evacuations.append(wish)
-
-    def take_back(self, data_centre: str) -> None:
-        """Let a data centre have work again."""
-        wish = self._asked.pop(data_centre, None)
-        if wish is not None:
-            wish.ended_at = time.monotonic()
+        if data_centre not in self._active:
+            evacuation = Evacuation(data_centre, time.monotonic())
+            self._active[data_centre] = evacuation
+            self.evacuations.append(evacuation)
+
+    def cancel_evacuation(self, data_centre: str) -> None:
+        """Cancel the evacuation of a data centre."""
+        evacuation = self._active.pop(data_centre, None)
+        if evacuation is not None:
+            evacuation.ended_at = time.monotonic()
         self._fleet.evacuate(data_centre, False)
 
 
@@ -60,32 +60,39 @@
     events: list[Event],
     faults: list[tuple[float, float]],
 ) -> list[str]:
-    """Return what ran in an evacuated data centre, hosts being in touch.
+    """Return violations: runs in an evacuated data centre without a fault.
 
     Parameters
     ----------
     faults : list of tuple
-        When each fault began and ended.
+        Start and end of each fault; runs during one, or soon after it, are
+        not counted.
     """
     problems = []
-    for wish in evacuations:
-        first = wish.asked_at + ALLOWED
+    for evacuation in evacuations:
+        first = evacuation.asked_at + ALLOWED_DELAY
         for event in events:
-            if not first < event.at < wish.ended_at or event.kind != "begin":
+            if (
+                not first < event.at < evacuation.ended_at
+                or event.kind != "begin"
+            ):
                 continue
-            if fleet.find_data_centre(event.upstream) != wish.data_centre:
+            if (
+                fleet.find_data_centre(event.upstream)
+                != evacuation.data_centre
+            ):
                 continue
-            if not any(b <= event.at < e + TOUCH for b, e in faults):
-                late = event.at - wish.asked_at
+            if not any(b <= event.at < e + RECONNECT_TIME for b, e in faults):
+                delay = event.at - evacuation.asked_at
                 problems.append(
-                    f"{event.request} ran at {event.upstream} {late:.1f} s "
+                    f"{event.request} ran at {event.upstream} {delay:.1f} s "
                     "after the evacuation"
                 )
     return problems
 
 
 def find_floods(events: list[Event]) -> list[str]:
-    """Return the cold upstreams that were sent more than they bear."""
+    """Return violations: cold upstreams that were sent too many requests."""
     return [
         f"{event.upstream} was flooded while it was cold"
         for event in events
@@ -94,5 +101,5 @@
 
 
 def draw_data_centre(source: random.Random) -> str:
-    """Return one of the data centres."""
+    """Return a random data centre."""
     return source.choice(DATA_CENTRES)
--- a/sedgetide/testing/soakfaults.py
+++ b/sedgetide/testing/soakfaults.py
@@ -1,4 +1,4 @@
-"""Faults of a soak: drawn by a seed, done to its processes."""
+"""Faults of a soak, drawn from a seed and injected into its processes."""
 
 from collections.abc import Callable
 import enum
@@ -18,11 +18,12 @@
 from sedgetide.testing.soakfleet import GRACE
 from sedgetide.testing.soakfleet import Program
 
-FAULT_TIME = 9.0
-CALM_TIME = 12.0
+FAULT_WINDOW = 9.0
+RECOVERY_TIME = 12.0
 _RESETS = 40
-# Seconds between the wish and its end; the soak may end before.
-_EVACUATED_FOR = (0.4, 3.0, 9.0, 60.0)
+# Seconds between the start and the end of an evacuation; the soak may end
+# earlier.
+_EVACUATION_TIMES = (0.4, 3.0, 9.0, 60.0)
 _FOREIGN_ENTRIES = (
     "no entry at all",
     {"address": 7, "info": [], "status": None},
@@ -33,26 +34,26 @@
     },
 )
 _RESET_PAUSE = 0.05
-# Seconds between a return of the store and the next one.
-_BETWEEN_RETURNS = 0.7
+# Seconds between two restores of the store.
+_RESTORE_INTERVAL = 0.7
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """Something that begins at a time and ends some seconds later.
+    """Scheduled fault of limited duration.
 
     Parameters
     ----------
     at, seconds : float
-        When it begins, from the first traffic on, and how long it lasts.
+        Start time, counted from the first traffic, and duration.
     name : str
-        For people.
+        Description for the output.
     begin, end : callable
-        Do and undo it.
+        Inject the fault and undo it.
     hosts : tuple of int
-        Hosts that are out of touch meanwhile.
+        Hosts that may have no current information while it lasts.
     upstream : str
-        Beginning of the names of the upstreams that they do not reach; all
-        when empty.
+        Prefix of the names of the upstreams that these hosts cannot reach;
+        all upstreams when empty.
     """
 
     at: float
@@ -64,18 +65,18 @@
     upstream: str = ""
 
 
-def _reset_often(proxy: Proxy) -> None:
-    """Reset what is open again and again, so that some of it is at work."""
+def _reset_repeatedly(proxy: Proxy) -> None:
+    """Reset open connections repeatedly, so that requests are in flight."""
     for _ in range(_RESETS):
         proxy.reset_all()
         gevent.sleep(_RESET_PAUSE)
 
 
-class Play(enum.IntEnum):
-    """What a soak is about, by the first of its seeds.
+class FaultSet(enum.IntEnum):
+    """Set of faults that a soak draws from, by the lowest of its seeds.
 
-    Later ones came to the faults of earlier ones; seeds go on drawing what
-    they once found a fault with.
+    Sets were added over time. A seed keeps its set, so that a seed that once
+    found a defect still draws the same faults.
     """
 
     EARLY = 0
@@ -84,51 +85,51 @@
     CROWDED = 3000
     DEADLY = 4000
     EVACUATED = 5000
-    # Copies of one deadly request come from several callers at once.
+    # Several callers send copies of one deadly request at the same time.
     COPIES = 6000
-    # Upstreams ask something of those who send to them.
-    ASKING = 7000
-    # The store comes back from older copies, and upstreams leave.
-    RETURNING = 8000
+    # Upstreams send limits, leaving notices and backoffs in their answers.
+    PUSHBACK = 7000
+    # The store is restored from older copies, and upstreams leave.
+    RESTORES = 8000
 
 
-def find_play(seed: int) -> Play:
-    """Return what the soak of a seed is about."""
-    return max(each for each in Play if each <= seed)
+def find_fault_set(seed: int) -> FaultSet:
+    """Return the set of faults of a seed."""
+    return max(each for each in FaultSet if each <= seed)
 
 
-class FaultDrawer:
+class FaultSampler:
     """Draws the faults of one soak.
 
     Parameters
     ----------
-    play : Play
-        Which of them may strike.
+    fault_set : FaultSet
+        Set of faults to draw from.
     source : random.Random
-        Decides.
+        Random number generator.
     fleet : Fleet
-        What they strike.
-    evacuator : Operator
-        Evacuates data centres.
+        Processes and proxies that the faults act on.
+    operator : Operator
+        Starts and cancels evacuations of data centres.
     """
 
     def __init__(
         self,
-        play: Play,
+        fault_set: FaultSet,
         source: random.Random,
         fleet: Fleet,
-        evacuator: Operator,
+        operator: Operator,
     ) -> None:
-        self._play = play
+        self._fault_set = fault_set
         self._random = source
         self._fleet = fleet
-        self._evacuator = evacuator
-        self._operator = BoundedSemaphore()
-        self.extra: list[str] = []
+        self._operator = operator
+        self._operator_lock = BoundedSemaphore()
+        self.extra_routes: list[str] = []
 
     def draw(self) -> list[Fault]:
-        """Return faults, by time."""
-        makers = [
+        """Return the faults, ordered by start time."""
+        factories = [
             self._draw_host_signal,
             self._draw_upstream_loss,
             self._draw_store_fault,
@@ -137,26 +138,32 @@
             self._draw_configuration,
             self._draw_planned_stop,
         ]
-        if self._play is Play.COPIES:
-            makers.remove(self._draw_upstream_loss)
-            makers += [self._draw_host_signal, self._draw_loss_of_all]
-        elif self._play is Play.EVACUATED:
-            makers += [self._draw_evacuation] * 3
-            makers += [self._draw_cold_return, self._draw_loss_of_all]
-        elif self._play is Play.ASKING:
-            makers += [self._draw_restart, self._draw_loss_of_all]
-        elif self._play is Play.RETURNING:
-            makers += [self._draw_return] * 4
-            makers += [self._draw_leaving] * 3
-            makers += [self._draw_loss_of_all, self._draw_evacuation]
-        elif self._play is Play.DEADLY:
-            # Upstreams crash as it is, and are started again for it.
-            makers.remove(self._draw_upstream_loss)
-        elif self._play >= Play.RESTARTS:
-            makers += [self._draw_restart, self._draw_restart]
-            makers.append(self._draw_foreign_entry)
+        if self._fault_set is FaultSet.COPIES:
+            factories.remove(self._draw_upstream_loss)
+            factories += [self._draw_host_signal, self._draw_loss_of_all_hosts]
+        elif self._fault_set is FaultSet.EVACUATED:
+            factories += [self._draw_evacuation] * 3
+            factories += [
+                self._draw_data_centre_restart,
+                self._draw_loss_of_all_hosts,
+            ]
+        elif self._fault_set is FaultSet.PUSHBACK:
+            factories += [self._draw_restart, self._draw_loss_of_all_hosts]
+        elif self._fault_set is FaultSet.RESTORES:
+            factories += [self._draw_restore] * 4
+            factories += [self._draw_leaving] * 3
+            factories += [self._draw_loss_of_all_hosts, self._draw_evacuation]
+        elif self._fault_set is FaultSet.DEADLY:
+            # Deadly requests crash upstreams already, and the fleet restarts
+            # them.
+            factories.remove(self._draw_upstream_loss)
+        elif self._fault_set >= FaultSet.RESTARTS:
+            factories += [self._draw_restart, self._draw_restart]
+            factories.append(self._draw_foreign_entry)
         faults = [
-            self._random.choice(makers)(self._random.uniform(0.5, FAULT_TIME))
+            self._random.choice(factories)(
+                self._random.uniform(0.5, FAULT_WINDOW)
+            )
             for _ in range(self._random.randrange(3, 8))
         ]
         return sorted(faults, key=lambda fault: fault.at)
@@ -224,7 +231,7 @@
         )
 
     def _draw_restart(self, at: float) -> Fault:
-        """Crash an upstream that is back under its name, often at once."""
+        """Kill an upstream and restart it under the same name."""
         upstream = self._random.choice(self._fleet.upstreams)
         seconds = self._random.choice((0.1, 0.3, 1.0, 3.0))
         return Fault(
@@ -232,40 +239,40 @@
             seconds,
             "restart an upstream under its name",
             lambda: upstream.program.close(),
-            upstream.start_again,
+            upstream.restart,
         )
 
-    def _draw_return(self, at: float) -> Fault:
-        """Have the store come back from a copy, now and then twice."""
+    def _draw_restore(self, at: float) -> Fault:
+        """Restore the store from a copy, in 30 % of the draws twice."""
         ages = [self._random.choice((0.5, 1.5, 3.0, 6.0)) for _ in range(2)]
-        away = self._random.choice((0.0, 0.3, 1.5, 4.0))
+        outage = self._random.choice((0.0, 0.3, 1.5, 4.0))
         twice = self._random.random() < 0.3
 
         def begin() -> None:
-            self._fleet.restore_store(ages[0], away)
+            self._fleet.restore_store(ages[0], outage)
 
         def end() -> None:
             if twice:
                 self._fleet.restore_store(ages[1], 0.0)
 
-        name = f"store back from {ages[0]:g} s" + twice * " and again"
-        return Fault(at, away + _BETWEEN_RETURNS, name, begin, end)
+        name = f"restore store of {ages[0]:g} s ago" + twice * " twice"
+        return Fault(at, outage + _RESTORE_INTERVAL, name, begin, end)
 
     def _draw_leaving(self, at: float) -> Fault:
-        """Have an upstream leave, end some seconds later, and be replaced."""
+        """Have an upstream leave, exit some seconds later and be replaced."""
         upstream = self._random.choice(self._fleet.upstreams)
         how = self._random.choice((signal.SIGUSR1, signal.SIGUSR2))
         seconds = self._random.choice((3.0, 5.0, 8.0))
 
         def end() -> None:
-            if upstream.program is leaver[0]:
+            if upstream.program is leaving[0]:
                 upstream.program.close()
                 upstream.start()
 
-        leaver: list[Program] = []
+        leaving: list[Program] = []
 
         def begin() -> None:
-            leaver.append(upstream.program)
+            leaving.append(upstream.program)
             upstream.program.signal(how)
             gevent.spawn_later(seconds, end)
 
@@ -273,22 +280,22 @@
 
     def _draw_evacuation(self, at: float) -> Fault:
         name = draw_data_centre(self._random)
-        seconds = self._random.choice(_EVACUATED_FOR)
+        seconds = self._random.choice(_EVACUATION_TIMES)
 
         def begin() -> None:
-            with self._operator:
-                self._evacuator.ask(name)
-            if seconds <= CALM_TIME:
+            with self._operator_lock:
+                self._operator.start_evacuation(name)
+            if seconds <= RECOVERY_TIME:
                 gevent.spawn_later(seconds, end)
 
         def end() -> None:
-            with self._operator:
-                self._evacuator.take_back(name)
+            with self._operator_lock:
+                self._operator.cancel_evacuation(name)
 
         return Fault(at, 0.0, f"evacuate {name} for {seconds:g}", begin)
 
-    def _draw_cold_return(self, at: float) -> Fault:
-        """End a data centre's upstreams, which come back together, cold."""
+    def _draw_data_centre_restart(self, at: float) -> Fault:
+        """Kill a data centre's upstreams and restart all of them cold."""
         name = draw_data_centre(self._random)
         seconds = self._random.choice((0.3, 2.0, 4.0))
         lost = [
@@ -304,9 +311,9 @@
                 if not each.program.running:
                     each.start()
 
-        return Fault(at, seconds, f"cold return of {name}", begin, end)
+        return Fault(at, seconds, f"cold restart of {name}", begin, end)
 
-    def _draw_loss_of_all(self, at: float) -> Fault:
+    def _draw_loss_of_all_hosts(self, at: float) -> Fault:
         def begin() -> None:
             for host in self._fleet.hosts:
                 host.program.signal(signal.SIGKILL)
@@ -320,7 +327,7 @@
         return Fault(at, 0.5, "kill all hosts", begin, end, hosts)
 
     def _draw_foreign_entry(self, at: float) -> Fault:
-        """Let another writer overwrite an entry, or add one."""
+        """Have a foreign writer overwrite a registry entry or add one."""
         upstream = self._random.choice(self._fleet.upstreams)
         added = self._random.random() < 0.5
         value = self._random.choice(_FOREIGN_ENTRIES)
@@ -358,8 +365,8 @@
 
     def _list_link_faults(self) -> tuple[str, ...]:
         kinds = ("reset", "silence", "delay", "cut", "one-way", "refuse")
-        if self._play < Play.FORGETTING:
-            # Regressions go on drawing the faults that they were found with.
+        if self._fault_set < FaultSet.FORGETTING:
+            # Older seeds must draw the same faults as when they were added.
             return kinds
         return (*kinds, Mode.FORGET.value, Mode.FORGET.value)
 
@@ -369,12 +376,12 @@
         hosts: tuple[int, ...] = ()
         upstream = ""
         if name.startswith("upstream"):
-            # What was held up on this way arrives together when it ends.
+            # Data that was held up arrives all at once when the fault ends.
             hosts = tuple(range(len(self._fleet.hosts)))
             upstream = f"i-{name.split()[1]}-"
         if kind == "reset":
             return Fault(
-                at, 0.0, label, lambda: gevent.spawn(_reset_often, proxy)
+                at, 0.0, label, lambda: gevent.spawn(_reset_repeatedly, proxy)
             )
         if kind == "silence":
             return Fault(at, 0.0, label, proxy.silence_all)
@@ -396,12 +403,13 @@
 
     def _draw_configuration(self, at: float) -> Fault:
         def begin() -> None:
-            # One operator: a version whose answer was lost is written again
-            # before the next one. Written after it, it would replace it, and
-            # hosts that start could not know of the newer one.
-            with self._operator:
-                self.extra.append(f"extra{len(self.extra)}")
-                version = 1 + len(self.extra)
-                self._fleet.configure(version, tuple(self.extra))
+            # Writes are serialized: a version whose answer was lost is
+            # written again before the next version. Otherwise the repeat
+            # would overwrite the newer version, and hosts that start later
+            # would not see it.
+            with self._operator_lock:
+                self.extra_routes.append(f"extra{len(self.extra_routes)}")
+                version = 1 + len(self.extra_routes)
+                self._fleet.configure(version, tuple(self.extra_routes))
 
         return Fault(at, 0.0, "configuration", begin)
--- a/sedgetide/testing/soakfleet.py
+++ b/sedgetide/testing/soakfleet.py
@@ -1,4 +1,4 @@
-"""The processes of a soak, and the proxies between them."""
+"""Processes of a soak and the proxies between them."""
 
 from collections.abc import Mapping
 from collections.abc import Sequence
@@ -29,29 +29,29 @@
 KEYED = "maps"
 PLAIN = "archive"
 GRACE = 4.0
-_ENDED = 10.0
-# Seconds; faults of the store last four at most.
-_WRITTEN = 20.0
-# Seconds after which a crashed upstream is back.
-_DOWN = 1.0
-# Places after the name of the program, proc(5).
+_EXIT_TIMEOUT = 10.0
+# Seconds; faults of the store last 4 s at most.
+_WRITE_TIMEOUT = 20.0
+# Seconds after which a crashed upstream is restarted.
+_RESTART_DELAY = 1.0
+# Field indices in /proc/PID/stat after the command name, see proc(5).
 _USER_TICKS = 11
 _SYSTEM_TICKS = 12
-# Share of runs that fail at an upstream that asks something of its senders.
-_FAILING = 0.1
+# Share of requests that an upstream with a script answers with status 500.
+_FAILURE_SHARE = 0.1
 
 
 class Program:
-    """One process, started again under the same settings when asked.
+    """One child process that can be restarted with the same arguments.
 
     Parameters
     ----------
     name : str
-        For its files.
+        Stem of the name of its output file.
     folder : pathlib.Path
-        Where its output goes.
+        Folder of the output file.
     arguments : list of str
-        What follows the interpreter.
+        Arguments of the Python interpreter.
     """
 
     def __init__(
@@ -63,10 +63,10 @@
         self._process: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
-        """Start it, unless it runs; its output is appended to its file.
+        """Start the process unless it runs; output is appended to its file.
 
-        Two faults of one process that overlap both end with a start; a
-        second process would stay behind when the soak ends.
+        Two overlapping faults of one process both end with a start; a second
+        process would be left running after the soak.
         """
         if self.running:
             return
@@ -78,47 +78,47 @@
             )
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal, if it runs."""
+        """Send a signal if the process runs."""
         if self._process is not None and self._process.poll() is None:
             os.kill(self._process.pid, number)
 
     @property
-    def identifier(self) -> int:
-        """Process id of its last start."""
+    def process_id(self) -> int:
+        """Process id of the last start."""
         return self._process.pid
 
     @property
     def crashed(self) -> bool:
-        """Whether the process has ended by a crash of its own."""
+        """Whether the process has exited with the status of a crash."""
         return not self.running and self._process.returncode == CRASHED
 
     @property
     def running(self) -> bool:
-        """Whether the process is there."""
+        """Whether the process was started and has not exited."""
         return self._process is not None and self._process.poll() is None
 
     def read_processor_time(self) -> float:
-        """Return the seconds of processor time that it has used."""
+        """Return the processor time that the process has used, in s."""
         stat = pathlib.Path(f"/proc/{self._process.pid}/stat").read_text()
         fields = stat.rpartition(")")[2].split()
         ticks = int(fields[_USER_TICKS]) + int(fields[_SYSTEM_TICKS])
         return ticks / os.sysconf("SC_CLK_TCK")
 
-    def wait(self, seconds: float = _ENDED) -> None:
-        """Wait for its end."""
+    def wait(self, seconds: float = _EXIT_TIMEOUT) -> None:
+        """Wait until the process has exited, or until the time is up."""
         end = time.monotonic() + seconds
         while self.running and time.monotonic() < end:
             gevent.sleep(0.02)
 
     def close(self) -> None:
-        """End it, whatever it does."""
+        """Kill the process, also when it is stopped by a signal."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGKILL)
         self.wait()
 
 
 class SoakHost:
-    """A host with the ways to it and from it to the store."""
+    """Host process with proxies before it and between it and the store."""
 
     def __init__(
         self,
@@ -150,19 +150,29 @@
         )
 
     def is_ready(self) -> bool:
-        """Tell what it answers the balancer."""
+        """Return whether the host reports ready to the load balancer."""
         answer = call(self.ready_port, "GET", _names.READINESS_PATH)
         return answer is not None and answer.status == 200
 
     def close(self) -> None:
-        """End the process and its proxies."""
+        """Kill the process and close its proxies."""
         self.program.close()
         self.store.close()
         self.front.close()
 
 
-class ColdStarts(msgspec.Struct, frozen=True):
-    """What the upstreams of a soak bear after a start during traffic."""
+class ColdStartLimits(msgspec.Struct, frozen=True):
+    """Load that upstreams accept after a start during traffic.
+
+    Parameters
+    ----------
+    seconds : float
+        Duration of the cold start.
+    rate : float
+        Requests per second that are configured for it.
+    overrun, slack : float
+        Factor and number of requests by which the rate may be exceeded.
+    """
 
     seconds: float = 1.5
     rate: float = 2.0
@@ -170,13 +180,16 @@
     slack: float = 3.0
 
     @property
-    def most(self) -> float:
-        """Requests in one second above which they end."""
+    def max_per_second(self) -> float:
+        """Requests in one second above which a cold upstream exits."""
         return self.rate * self.overrun + self.slack
 
 
 class SoakUpstream:
-    """A place for an upstream; starts have names of their own, or one."""
+    """Address at which upstream processes are started one after another.
+
+    A start gets a new name, or keeps the name of the previous one.
+    """
 
     def __init__(
         self,
@@ -184,11 +197,11 @@
         service: str,
         folder: pathlib.Path,
         store_port: int,
-        late: float,
+        late_grants: float,
         clock_rate: float,
         slots: int,
         crash_on: str,
-        cold: ColdStarts | None,
+        cold: ColdStartLimits | None,
         says: Sequence[str],
     ) -> None:
         self._slots = slots
@@ -200,36 +213,36 @@
         self._store_port = store_port
         self._number = number
         self._service = service
-        self._late = late
+        self._late_grants = late_grants
         self._clock_rate = clock_rate
         self._starts = 0
         self._crashed_starts = 0
         self.name = ""
         self._port = find_port()
         self.proxy = Proxy(self._port)
-        # A proxy listens on when its process has crashed.
+        # A proxy would go on accepting connections after a crash.
         direct = f"127.0.0.1:{self._port}"
         self.address = direct if crash_on else self.proxy.address
         self.programs: list[Program] = []
 
     @property
     def program(self) -> Program:
-        """Its last start."""
+        """The process that was started last."""
         return self.programs[-1]
 
     def note_crash(self) -> bool:
-        """Return whether the crash of its last start is seen just now."""
-        news = self._crashed_starts < self._starts
+        """Return whether the crash of the last start is seen first now."""
+        is_new = self._crashed_starts < self._starts
         self._crashed_starts = self._starts
-        return news
+        return is_new
 
     def start(self) -> None:
-        """Start it as a new upstream at the same address."""
+        """Start a new upstream under a new name at the same address."""
         self.name = f"i-{self._number}-{self._starts + 1}"
-        self.start_again()
+        self.restart()
 
-    def start_again(self) -> None:
-        """Start it under the name that it had; it knows nothing of before."""
+    def restart(self) -> None:
+        """Start the upstream under its former name, without its state."""
         self._starts += 1
         arguments = [
             "-m",
@@ -241,7 +254,7 @@
             f"--port={self._port}",
             f"--address={self.address}",
             f"--store=127.0.0.1:{self._store_port}",
-            f"--late={self._late}",
+            f"--late={self._late_grants}",
             f"--clock-rate={self._clock_rate}",
             f"--slots={self._slots}",
         ]
@@ -250,26 +263,26 @@
         if self._cold is not None and self._starts > 1:
             # The first ones start before there is any traffic.
             arguments.append(f"--cold={self._cold.seconds}")
-            arguments.append(f"--most-cold={self._cold.most}")
+            arguments.append(f"--most-cold={self._cold.max_per_second}")
         if self._crash_on:
             arguments.append(f"--crash-on={self._crash_on}")
         arguments += [f"--says={line}" for line in self._says]
         if self._says:
-            arguments.append(f"--failing={_FAILING}")
+            arguments.append(f"--failing={_FAILURE_SHARE}")
         label = f"{self.name}-{self._starts}"
         program = Program(label, self._folder, arguments)
         program.start()
         self.programs.append(program)
 
     def close(self) -> None:
-        """End all its processes."""
+        """Kill all processes of this upstream and close the proxy."""
         for program in self.programs:
             program.close()
         self.proxy.close()
 
 
 def call(port: int, method: str, path: str, document=None) -> Answer | None:
-    """Make a plain call; None when there is no answer."""
+    """Make one HTTP call; return None when there is no answer."""
     address = f"127.0.0.1:{port}"
     body = b"" if document is None else msgspec.json.encode(document)
     connection = Connection(address, 1 << 20)
@@ -289,33 +302,33 @@
     Parameters
     ----------
     folder : pathlib.Path
-        Where settings and output go.
-    late : float
-        Share of grants that upstreams carry out late.
+        Folder for settings and process output.
+    late_grants : float
+        Share of grants that upstreams apply late.
     options : sequence of mapping
-        Settings of each host besides its names and addresses.
+        Settings of each host besides its name and addresses.
     slots : int
-        Requests that an upstream works on at a time.
+        Requests that an upstream runs concurrently.
     crash_on : str
-        Path of requests that end the upstream's process; then no proxies
-        stand before upstreams.
-    cold : ColdStarts or None
-        What upstreams bear after a start; None when there is no bound.
+        Path of requests that crash the upstream; when set, upstreams are
+        addressed without proxies.
+    cold : ColdStartLimits or None
+        Load that upstreams accept after a start; None for no limit.
     says : mapping
         Lines of a script by the number of an upstream; see
         :mod:`sedgetide.testing.remarks`.
     era : int
-        First era of the store; while it is zero, none is named.
+        First era of the store; answers name no era while it is 0.
     """
 
     def __init__(
         self,
         folder: pathlib.Path,
-        late: float,
+        late_grants: float,
         options: Sequence[Mapping[str, Any]] = ({}, {}, {}),
         slots: int = 2,
         crash_on: str = "",
-        cold: ColdStarts | None = None,
+        cold: ColdStartLimits | None = None,
         says: Mapping[int, Sequence[str]] | None = None,
         era: int = 0,
     ) -> None:
@@ -346,7 +359,7 @@
                 service,
                 folder,
                 self.store_port,
-                late,
+                late_grants,
                 0.98 if number % 2 else 1.0,
                 slots,
                 crash_on,
@@ -359,13 +372,14 @@
             self._stack.callback(each.close)
 
     def start(self, seconds: float = 25.0) -> None:
-        """Start all and wait until every host is ready."""
+        """Start all processes and wait until every host is ready."""
         self.store.start()
         end = time.monotonic() + seconds
         while not self._has_store():
             if not self.store.running:
                 raise TimeoutError(
-                    f"the store has ended: another has port {self.store_port}"
+                    "the store has exited: another process listens on port "
+                    f"{self.store_port}"
                 )
             if time.monotonic() > end:
                 raise TimeoutError("the store did not start")
@@ -381,18 +395,18 @@
             gevent.sleep(0.1)
 
     def _has_store(self) -> bool:
-        """Tell whether a store answers, and not something else."""
+        """Return whether the store, and no other server, answers."""
         answer = call(self.store_port, "GET", _names.RANGE_PATH)
         return answer is not None and answer.status == 200
 
     def put_entry(self, name: str, value: object) -> None:
-        """Write an entry of the registry as another writer might."""
+        """Write an entry of the registry as a foreign writer does."""
         key = _names.REGISTRY_PREFIX + name
         document = {"key": key, "value": value, "life": 2.0}
         call(self.store_port, "POST", "/put", document)
 
-    def configure(self, version: int, extra: tuple[str, ...]) -> None:
-        """Write a version of the routes, with more of them."""
+    def configure(self, version: int, extra_routes: tuple[str, ...]) -> None:
+        """Write a version of the configuration with additional routes."""
         columns = [
             "name",
             "host",
@@ -408,7 +422,7 @@
             ["alert", HOST, "/alert/", "unsafe", 1500, 500, 2, KEYED],
             ["old", HOST, "/archive/", "safe", 1500, 500, 2, PLAIN],
         ]
-        for name in extra:
+        for name in extra_routes:
             rows.append([name, HOST, f"/{name}/", "safe", 1500, 500, 2, PLAIN])
         document = {
             "version": f"r{version}",
@@ -427,52 +441,52 @@
             ]
         return {"columns": columns, "rows": rows}
 
-    def evacuate(self, data_centre: str, asked: bool) -> None:
-        """Ask for a data centre to be emptied, or take it back."""
+    def evacuate(self, data_centre: str, active: bool) -> None:
+        """Request the evacuation of a data centre, or cancel it."""
         key = _names.EVACUATION_PREFIX + data_centre
-        self.put(key, {} if asked else None)
+        self.put(key, {} if active else None)
 
     def restore_store(self, age: float, seconds: float) -> None:
-        """Let the store go away, and come back from a copy of some age."""
+        """Stop the store for a time, then restore it from a copy."""
         document = {"kind": "restore", "age": age, "seconds": seconds}
         call(self.store_port, "POST", "/fault", document)
 
     def find_data_centre(self, start: str) -> str:
-        """Return where the upstream of an event is."""
+        """Return the data centre of the upstream of an event."""
         number = int(start.split("-")[1])
         return self.upstreams[number].data_centre
 
     def put(self, key: str, value: object) -> None:
-        """Write a key as the operator does, until it is taken.
+        """Write a key as the operator does, and retry until it is stored.
 
         Raises
         ------
         TimeoutError
-            When it is not, long after every fault has ended.
+            When the write still fails long after every fault has ended.
         """
         document = {"key": key, "value": value}
-        end = time.monotonic() + _WRITTEN
+        end = time.monotonic() + _WRITE_TIMEOUT
         while time.monotonic() < end:
             answer = call(self.store_port, "POST", "/put", document)
             if answer is not None and answer.status == 200:
                 return
             gevent.sleep(0.1)
-        raise TimeoutError(f"{key}: the store did not take it")
+        raise TimeoutError(f"the store did not accept a write of {key!r}")
 
     def supervise(self) -> None:
-        """Start upstreams again that have crashed, until killed."""
+        """Restart crashed upstreams until this greenlet is killed."""
         due: list[tuple[float, SoakUpstream]] = []
         while True:
             gevent.sleep(0.1)
             now = time.monotonic()
             for upstream in self.upstreams:
                 if upstream.program.crashed and upstream.note_crash():
-                    due.append((now + _DOWN, upstream))
+                    due.append((now + _RESTART_DELAY, upstream))
             while due and due[0][0] <= now:
                 due.pop(0)[1].start()
 
     def read_events(self) -> list[Event]:
-        """Return what all upstreams ran, by time."""
+        """Return the events of all upstreams, by time."""
         decoder = msgspec.json.Decoder(Event)
         events = []
         for upstream in self.upstreams:
@@ -483,5 +497,5 @@
         return sorted(events, key=lambda event: event.at)
 
     def close(self) -> None:
-        """End all processes."""
+        """Kill all processes and close all proxies."""
         self._stack.close()
--- a/sedgetide/testing/soakleaving.py
+++ b/sedgetide/testing/soakleaving.py
@@ -1,33 +1,35 @@
-"""Upstreams of a soak that tell the registry that they leave."""
+"""Check of upstreams of a soak that announce in the registry to leave."""
 
 from sedgetide.testing.rangeupstream import Event
 from sedgetide.testing.rangeupstream import LEFT
 
-# Seconds after the acknowledgement within which requests may still come.
+# Seconds after the registry's acknowledgement in which requests may still
+# arrive.
 DRAINED_WITHIN = 2.0
-_TOUCH = 3.0
+_RECONNECT_TIME = 3.0
 
 
 def find_late_sends(
     events: list[Event], faults: list[tuple[float, float]]
 ) -> list[str]:
-    """Return what reached upstreams that leave, hosts being in touch.
+    """Return violations: requests to leaving upstreams without a fault.
 
     Parameters
     ----------
     faults : list of tuple
-        When each fault began and ended.
+        Start and end of each fault; requests during one, or soon after it,
+        are not counted.
     """
     left = {each.upstream: each.at for each in events if each.kind == LEFT}
     problems = []
     for event in events:
         if event.kind != "begin" or event.upstream not in left:
             continue
-        late = event.at - left[event.upstream]
-        excused = any(b <= event.at < e + _TOUCH for b, e in faults)
-        if late > DRAINED_WITHIN and not excused:
+        delay = event.at - left[event.upstream]
+        excused = any(b <= event.at < e + _RECONNECT_TIME for b, e in faults)
+        if delay > DRAINED_WITHIN and not excused:
             problems.append(
-                f"{event.request} ran at {event.upstream} {late:.1f} s after "
-                "the registry had heard that it leaves"
+                f"{event.request} ran at {event.upstream} {delay:.1f} s after "
+                "the registry had acknowledged that it leaves"
             )
     return problems
--- a/sedgetide/testing/soakpushback.py
+++ b/sedgetide/testing/soakpushback.py
@@ -1,4 +1,8 @@
-"""What upstreams of a soak ask of hosts in their answers, and its checks."""
+"""Pushback of upstreams of a soak, and checks that hosts comply.
+
+Pushback is what an upstream asks of hosts in the headers of its answers: a
+limit of requests per second, that it is leaving, or a backoff.
+"""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -13,33 +17,34 @@
 from sedgetide.testing.remarks import BACKOFF
 from sedgetide.testing.remarks import LEAVING
 from sedgetide.testing.remarks import LIMIT
-from sedgetide.testing.soakcallers import Ask
+from sedgetide.testing.soakcallers import RequestRecord
 
-# Seconds, and a factor and requests beyond a limit, as the platform grants
-# them: from its first word on, in any window, by a host that has heard it.
-_BINDS_AFTER = 3.0
+# Tolerances that the platform specifies. A limit binds from this many seconds
+# after its first answer on; within any window the product of limit and window
+# may be exceeded by the factor and the number of requests; and only requests
+# of a host that has received the answer long enough ago are counted.
+_EFFECTIVE_AFTER = 3.0
 _WINDOW = 4.0
-_HEARD_FOR = 0.5
+_KNOWN_AFTER = 0.5
 _OVERRUN = 1.5
 _SLACK = 5.0
-# Seconds after the word of leaving in which callers' requests may still come.
+# Seconds after a leaving notice in which callers' requests may still arrive.
 _DRAINED_WITHIN = 2.0
-# Requests that may come in a backoff once a host has heard of it.
-_MOST_IN_BACKOFF = 2
+# Requests that a host may send in a backoff that it has received.
+_MAX_IN_BACKOFF = 2
 
 
-class Absence(msgspec.Struct, frozen=True):
-    """A time in which hosts were not in touch, or had lost what they knew.
+class HostOutage(msgspec.Struct, frozen=True):
+    """Interval in which hosts were disconnected or had lost their state.
 
     Parameters
     ----------
     hosts : tuple of int
-        Which.
+        Indices of the hosts.
     began, ended : float
-        Machine's monotonic clock.
+        Times of the machine's monotonic clock.
     upstream : str
-        Beginning of the names of the upstreams that it concerns; all when
-        empty.
+        Prefix of the names of the upstreams concerned; all when empty.
     """
 
     hosts: tuple[int, ...]
@@ -50,18 +55,18 @@
 
 _LIMITS = ("0", "0.3", "1.3", "2.2", "6", "50", "x")
 _BACKOFFS = ("0.4", "1.5", "3", "soon")
-# Numbers of upstreams with and without keys that may ask for something.
-_ASKING = (0, 1, 4)
+# Numbers of the upstreams that have a script: two keyed ones, one plain.
+_SCRIPTED = (0, 1, 4)
 
 
 def draw_scripts(source: random.Random) -> dict[int, list[str]]:
-    """Return what upstreams say, by the time since their start.
+    """Return the lines of a script for each upstream that has one.
 
-    All but the word of leaving ends after some seconds, so that callers are
-    served again.
+    Limits and backoffs end after some seconds, so that callers are served
+    again; leaving does not.
     """
     scripts: dict[int, list[str]] = {}
-    for number in _ASKING:
+    for number in _SCRIPTED:
         kinds = source.sample((LIMIT, LEAVING, BACKOFF, ""), 2)
         scripts[number] = [
             line for kind in kinds for line in _draw_lines(source, kind)
@@ -87,133 +92,137 @@
     return []
 
 
-Asked = Mapping[str, Ask]
-Absences = Sequence[Absence]
+RecordsById = Mapping[str, RequestRecord]
+HostOutages = Sequence[HostOutage]
 
 
 def find_ignored(
-    events: Sequence[Event], asked: Iterable[Ask], absences: Absences = ()
+    events: Sequence[Event],
+    records: Iterable[RequestRecord],
+    outages: HostOutages = (),
 ) -> list[str]:
-    """Return where hosts did not keep to what upstreams had asked.
+    """Return violations: requests that hosts sent in spite of pushback.
 
     Parameters
     ----------
     events : sequence of Event
-        Of all upstreams, in order.
-    asked : iterable of Ask
+        Events of all upstreams, by time.
+    records : iterable of RequestRecord
         All requests of callers.
-    absences : sequence of Absence
-        Times for which a host is not judged.
+    outages : sequence of HostOutage
+        Intervals in which requests of a host are not counted.
     """
-    requests = {ask.number: ask for ask in asked}
+    records_by_id = {record.number: record for record in records}
     problems = []
     for upstream in sorted({each.upstream for each in events}):
         own = [
             each
             for each in events
-            if each.upstream == upstream and each.request in requests
+            if each.upstream == upstream and each.request in records_by_id
         ]
         excused = [
-            each for each in absences if upstream.startswith(each.upstream)
+            each for each in outages if upstream.startswith(each.upstream)
         ]
-        problems += _find_over_limit(own, requests, excused)[:1]
-        problems += _find_late(own, requests, excused)[:1]
-        problems += _find_in_backoff(own, requests, excused)[:1]
+        problems += _find_over_limit(own, records_by_id, excused)[:1]
+        problems += _find_late(own, records_by_id, excused)[:1]
+        problems += _find_in_backoff(own, records_by_id, excused)[:1]
     return problems
 
 
-def _is_absent(host: int, at: float, absences: Absences) -> bool:
+def _is_in_outage(host: int, at: float, outages: HostOutages) -> bool:
     return any(
-        host in each.hosts and each.began <= at < each.ended + _BINDS_AFTER
-        for each in absences
+        host in each.hosts and each.began <= at < each.ended + _EFFECTIVE_AFTER
+        for each in outages
     )
 
 
 def _find_late(
-    events: Sequence[Event], asked: Asked, absences: Absences
+    events: Sequence[Event], records: RecordsById, outages: HostOutages
 ) -> list[str]:
-    """Return what reached an upstream that had told the host of its end."""
+    """Return requests of hosts that knew that the upstream is leaving."""
     told: dict[int, float] = {}
     problems = []
     for event in events:
-        ask = asked[event.request]
+        record = records[event.request]
         if event.kind == SAID and event.said.get(LEAVING) == "1":
-            told.setdefault(ask.host, event.at)
-        heard = told.get(ask.host, float("inf"))
+            told.setdefault(record.host, event.at)
+        heard = told.get(record.host, float("inf"))
         forgotten = any(
-            ask.host in each.hosts and each.ended > heard for each in absences
+            record.host in each.hosts and each.ended > heard
+            for each in outages
         )
-        late = ask.at - heard - _DRAINED_WITHIN
+        late = record.at - heard - _DRAINED_WITHIN
         if event.kind == ARRIVED and late > 0 and not forgotten:
             problems.append(
-                f"{event.request} reached {event.upstream}, which leaves, "
-                f"{late + _DRAINED_WITHIN:.1f} s after its word"
+                f"{event.request} reached {event.upstream} "
+                f"{late + _DRAINED_WITHIN:.1f} s after its leaving notice"
             )
     return problems
 
 
 def _find_in_backoff(
-    events: Sequence[Event], asked: Asked, absences: Absences
+    events: Sequence[Event], records: RecordsById, outages: HostOutages
 ) -> list[str]:
-    """Return backoffs in which a host went on sending."""
+    """Return backoffs in which a host continued to send."""
     problems = []
-    for word in events:
-        backoff = _read_number(word.said.get(BACKOFF, ""))
-        if word.kind != SAID or backoff is None:
+    for pushback in events:
+        backoff = _parse_number(pushback.said.get(BACKOFF, ""))
+        if pushback.kind != SAID or backoff is None:
             continue
-        host = asked[word.request].host
+        host = records[pushback.request].host
         sent = [
             each.at
             for each in events
             if each.kind == ARRIVED
-            and asked[each.request].host == host
-            and word.at + _HEARD_FOR < each.at < word.at + backoff
-            and not _is_absent(host, each.at, absences)
+            and records[each.request].host == host
+            and pushback.at + _KNOWN_AFTER < each.at < pushback.at + backoff
+            and not _is_in_outage(host, each.at, outages)
         ]
-        if len(sent) > _MOST_IN_BACKOFF:
+        if len(sent) > _MAX_IN_BACKOFF:
             problems.append(
-                f"{word.upstream} asked host {host} to back off {backoff:g} s "
-                f"and got {len(sent)} requests"
+                f"{pushback.upstream} asked host {host} to back off "
+                f"{backoff:g} s and received {len(sent)} requests"
             )
     return problems
 
 
 def _find_over_limit(
-    events: Sequence[Event], asked: Asked, absences: Absences
+    events: Sequence[Event], records: RecordsById, outages: HostOutages
 ) -> list[str]:
-    words = [each for each in events if each.kind == SAID]
-    first = next((each.at for each in words if LIMIT in each.said), None)
+    pushbacks = [each for each in events if each.kind == SAID]
+    first = next((each.at for each in pushbacks if LIMIT in each.said), None)
     if first is None:
         return []
-    counted = _list_counted(events, asked, absences)
+    counted = _list_counted(events, records, outages)
     problems = []
     for index, at in enumerate(counted):
         began = at - _WINDOW
-        allowed = _find_allowed(words, began, at)
-        if began < first + _BINDS_AFTER or allowed is None:
+        allowed = _find_allowed(pushbacks, began, at)
+        if began < first + _EFFECTIVE_AFTER or allowed is None:
             continue
         sent = sum(1 for each in counted[: index + 1] if each > began)
         if sent > allowed:
             problems.append(
-                f"{events[0].upstream} was sent {sent} in {_WINDOW:g} s, "
-                f"{allowed:g} are allowed, {at - first:.1f} s after its word"
+                f"{events[0].upstream} received {sent} requests in "
+                f"{_WINDOW:g} s, {allowed:g} are allowed, {at - first:.1f} s "
+                "after its first limit"
             )
     return problems
 
 
 def _find_allowed(
-    words: Sequence[Event], began: float, ended: float
+    pushbacks: Sequence[Event], began: float, ended: float
 ) -> float | None:
-    """Return the requests that a window may hold; None: any number."""
-    before = [each.said for each in words if each.at <= began][-1:]
-    within = [each.said for each in words if began < each.at <= ended]
-    limits = [_read_number(each.get(LIMIT, "")) for each in before + within]
+    """Return the requests allowed in a window; None when unlimited."""
+    before = [each.said for each in pushbacks if each.at <= began][-1:]
+    within = [each.said for each in pushbacks if began < each.at <= ended]
+    limits = [_parse_number(each.get(LIMIT, "")) for each in before + within]
     if not limits or None in limits:
         return None
     return _OVERRUN * max(limits) * _WINDOW + _SLACK
 
 
-def _read_number(said: str) -> float | None:
+def _parse_number(said: str) -> float | None:
     try:
         return float(said)
     except ValueError:
@@ -222,19 +231,19 @@
 
 def _list_counted(
     events: Sequence[Event],
-    asked: Asked,
-    absences: Absences,
+    records: RecordsById,
+    outages: HostOutages,
 ) -> list[float]:
-    """Return the arrivals from hosts that had heard the limit before."""
+    """Return arrival times of requests from hosts that knew of the limit."""
     told: dict[int, float] = {}
     counted = []
     for event in events:
-        host = asked[event.request].host
+        host = records[event.request].host
         if event.kind == SAID and LIMIT in event.said:
             told.setdefault(host, event.at)
         elif event.kind == ARRIVED:
             heard = told.get(host, float("inf"))
-            late = event.at >= heard + _HEARD_FOR
-            if late and not _is_absent(host, event.at, absences):
+            late = event.at >= heard + _KNOWN_AFTER
+            if late and not _is_in_outage(host, event.at, outages):
                 counted.append(event.at)
     return counted
--- a/tests/testing/test_soakfleet.py
+++ b/tests/testing/test_soakfleet.py
@@ -1,4 +1,4 @@
-"""Tests of how a fleet of processes starts and ends."""
+"""Tests of start, supervision and end of a fleet of processes."""
 
 import pathlib
 import tempfile
@@ -16,11 +16,12 @@
 
 class TestStart(testtools.TestCase):
     def test_port_of_the_store_that_another_run_has(self):
-        """Two soaks run side by side, and one has the other's port.
+        """Guards against an endless start when the store's port is in use.
 
-        The second store ends at its start. Whatever has the port answers in
-        its place and takes no configuration: writing it was repeated for
-        good, with no process of the soak left, and the suite never ended.
+        Of two soaks in parallel one may listen on the other's port. The
+        second store then exits at once, and the server on the port answers in
+        its place and accepts no configuration: the write was retried forever
+        and the test suite did not end.
         """
         with tempfile.TemporaryDirectory() as folder:
             fleet = Fleet(pathlib.Path(folder), 0.0)
@@ -44,9 +45,9 @@
         self.starts = 0
 
     def note_crash(self):
-        news = not self.seen
+        is_new = not self.seen
         self.seen = True
-        return news
+        return is_new
 
     def start(self):
         self.starts += 1
@@ -54,7 +55,7 @@
 
 class TestSupervision(testtools.TestCase):
     def supervise(self, seconds):
-        """Let a fleet be supervised for a time, and return its upstream."""
+        """Supervise a fleet for some seconds and return its upstream."""
         upstream = CrashedUpstream()
         with tempfile.TemporaryDirectory() as folder:
             fleet = Fleet(pathlib.Path(folder), 0.0)
@@ -70,5 +71,5 @@
         self.assertEqual(1, self.supervise(1.3).starts)
 
     def test_no_upstream_is_started_after_the_fleet_has_ended(self):
-        # Guards against one that registers at the store of the next fleet.
+        # Guards against an upstream that registers in the next fleet's store.
         self.assertEqual(0, self.supervise(0.3).starts)
--- a/tests/testing/test_soakpushback.py
+++ b/tests/testing/test_soakpushback.py
@@ -1,4 +1,4 @@
-"""Tests of the checks of what upstreams ask of hosts."""
+"""Tests of the checks that hosts comply with pushback of upstreams."""
 
 import random
 
@@ -8,34 +8,36 @@
 from sedgetide.testing.rangeupstream import Event
 from sedgetide.testing.rangeupstream import SAID
 from sedgetide.testing.remarks import Script
-from sedgetide.testing.soakcallers import Ask
-from sedgetide.testing.soakpushback import Absence
+from sedgetide.testing.soakcallers import RequestRecord
 from sedgetide.testing.soakpushback import draw_scripts
 from sedgetide.testing.soakpushback import find_ignored
+from sedgetide.testing.soakpushback import HostOutage
 
 UPSTREAM = "i-0-1@1"
 
 
 class TestFindIgnored(testtools.TestCase):
-    """A check that finds nothing says something only if it can."""
+    """The checks report violations, and only violations."""
 
     def setUp(self):
         super().setUp()
-        self.asked = []
+        self.records = []
         self.events = []
 
     def ask(self, at, host=0, said=None):
-        number = f"r-{len(self.asked)}"
-        self.asked.append(Ask(number, False, at, host))
-        for seconds, kind, words in (
+        number = f"r-{len(self.records)}"
+        self.records.append(RequestRecord(number, False, at, host))
+        for seconds, kind, pushback in (
             (0.01, ARRIVED, {}),
             (0.02, SAID, said or {}),
         ):
-            event = Event(at + seconds, kind, UPSTREAM, number, -1, 0, words)
+            event = Event(
+                at + seconds, kind, UPSTREAM, number, -1, 0, pushback
+            )
             self.events.append(event)
 
-    def find(self, *absences):
-        return len(find_ignored(self.events, self.asked, absences))
+    def find(self, *outages):
+        return len(find_ignored(self.events, self.records, outages))
 
     def ask_often(self, count, said, host=0):
         for step in range(count):
@@ -44,9 +46,9 @@
     def test_limit(self):
         self.ask_often(60, {"limit": "0.5"})
         self.assertEqual(1, self.find())
-        self.assertEqual(0, self.find(Absence((0,), 10.0, 30.0)))
-        self.assertEqual(1, self.find(Absence((1,), 10.0, 30.0)))
-        other = Absence((0,), 10.0, 30.0, "i-3-")
+        self.assertEqual(0, self.find(HostOutage((0,), 10.0, 30.0)))
+        self.assertEqual(1, self.find(HostOutage((1,), 10.0, 30.0)))
+        other = HostOutage((0,), 10.0, 30.0, "i-3-")
         self.assertEqual(1, self.find(other))
 
     def test_limit_that_is_kept_or_has_ended(self):
@@ -68,8 +70,8 @@
         self.assertEqual(0, self.find())
         self.ask(12.2, 0)
         self.assertEqual(1, self.find())
-        self.assertEqual(0, self.find(Absence((0,), 10.5, 11.0)))
-        self.assertEqual(1, self.find(Absence((0,), 9.0, 9.5)))
+        self.assertEqual(0, self.find(HostOutage((0,), 10.5, 11.0)))
+        self.assertEqual(1, self.find(HostOutage((0,), 9.0, 9.5)))
 
     def test_backoff(self):
         self.ask(10.0, 0, {"backoff": "3"})
