--- a/sedgetide/testing/leasestore.py
+++ b/sedgetide/testing/leasestore.py
@@ -1,7 +1,7 @@
-"""The platform's store in memory, with its faults.
+"""In-memory model of the platform's store.
 
-As the pages of the platform describe it: one revision counter, leases,
-transactions, watches with a bounded history. Time is passed in.
+It follows the platform's documentation: one revision counter, leases,
+transactions, and watches with a bounded history. Callers pass in the time.
 """
 
 from collections.abc import Mapping
@@ -30,16 +30,16 @@
 
 
 class StoreFault(enum.Enum):
-    """What goes wrong with the next calls.
+    """How calls fail while the fault lasts.
 
     Attributes
     ----------
     DOWN
-        Calls are refused; nothing is done.
+        Calls are refused and not applied.
     LOST
-        Calls are carried out and not answered.
+        Calls are applied and not answered.
     LATE
-        Calls are not answered and carried out when asked for.
+        Calls are applied later and not answered.
     """
 
     DOWN = "down"
@@ -52,16 +52,16 @@
     until: float
 
 
-class _Held(msgspec.Struct):
+class _StoredItem(msgspec.Struct):
     value: bytes
     revision: Revision
     lease: LeaseId
 
 
 class StoreCopy(msgspec.Struct, frozen=True):
-    """All that a store held at a moment; made by the model."""
+    """Copy of the complete state of a :class:`LeaseStoreModel`."""
 
-    items: dict[str, _Held]
+    items: dict[str, _StoredItem]
     leases: dict[LeaseId, float]
     history: list[Item]
     forgotten: Revision
@@ -70,19 +70,23 @@
 
 
 class LeaseStoreModel:
-    """State of the store; every method takes the time.
+    """State of the store.
+
+    A lease is a time limit on keys: when it expires or is revoked, the keys
+    that were written with it are removed. An era is the number of the store's
+    history; it rises with each restore from a copy.
 
     Parameters
     ----------
     history : int
-        Changes that a watch may go back.
+        Number of changes that are kept for watches.
     era : Era
         First era.
     """
 
     def __init__(self, history: int = 1000, era: Era = FIRST_ERA) -> None:
         self._history_size = history
-        self._items: dict[str, _Held] = {}
+        self._items: dict[str, _StoredItem] = {}
         self._leases: dict[LeaseId, _Lease] = {}
         self._history: list[Item] = []
         self._forgotten = NO_REVISION
@@ -92,11 +96,11 @@
 
     @property
     def position(self) -> Position:
-        """Where its history stands."""
+        """Current era and revision."""
         return Position(self.era, self.revision)
 
     def copy(self) -> StoreCopy:
-        """Return a copy from which the store may come back."""
+        """Return a copy that the store can be restored from."""
         return StoreCopy(
             dict(self._items),
             {lease: held.life for lease, held in self._leases.items()},
@@ -107,7 +111,7 @@
         )
 
     def restore(self, copy: StoreCopy, now: float) -> None:
-        """Come back from a copy; leases in it begin anew."""
+        """Restore a copy in a new era; all leases in it are renewed."""
         self._items = dict(copy.items)
         self._leases = {
             lease: _Lease(life, now + life)
@@ -123,25 +127,25 @@
         if value is None:
             del self._items[key]
         else:
-            self._items[key] = _Held(value, self.revision, lease)
+            self._items[key] = _StoredItem(value, self.revision, lease)
         self._history.append(Item(key, self.position, value))
         while len(self._history) > self._history_size:
             self._forgotten = self._history.pop(0).position.revision
 
     def expire(self, now: float) -> None:
-        """Remove the keys of leases that have ended."""
+        """Revoke expired leases."""
         for lease, held in list(self._leases.items()):
             if held.until <= now:
                 self.revoke(lease)
 
     def revoke(self, lease: LeaseId, forget: bool = True) -> None:
-        """Remove a lease's keys.
+        """Remove the keys of a lease.
 
         Parameters
         ----------
         forget : bool
-            False: the lease itself goes on, so that no call of its holder
-            shows that its keys are gone.
+            Whether to end the lease too. Otherwise it stays valid, and the
+            holder can renew it without seeing that the keys are gone.
         """
         keys = [k for k, held in self._items.items() if held.lease == lease]
         if keys:
@@ -157,7 +161,7 @@
             self.revoke(lease, forget)
 
     def forget_history(self) -> None:
-        """Drop all history, as the store may at any time."""
+        """Drop the history, as the real store may do at any time."""
         self._history.clear()
         self._forgotten = self.revision
 
@@ -177,7 +181,7 @@
         return Item(key, Position(self.era, held.revision), held.value)
 
     def list(self, prefix: str) -> Listing:
-        """Return all items whose key begins with a prefix."""
+        """Return all items whose key starts with a prefix."""
         items = [
             Item(key, Position(self.era, held.revision), held.value)
             for key, held in sorted(self._items.items())
@@ -186,12 +190,12 @@
         return Listing(items, self.position)
 
     def list_changes(self, prefix: str, since: Revision) -> Listing:
-        """Return what has changed since a revision.
+        """Return the changes since a revision.
 
         Raises
         ------
         HistoryLost
-            When that is no longer known.
+            When the history no longer reaches back to the revision.
         """
         if not self._forgotten <= since <= self.revision:
             raise HistoryLost(
@@ -209,14 +213,14 @@
     def transact(
         self, expected: Mapping[str, Revision], writes: Sequence[Write]
     ) -> Position:
-        """Write all if all revisions are as expected.
+        """Apply all writes if all keys have the expected revisions.
 
         Raises
         ------
         StoreConflict
-            When one is not.
+            When a key has another revision.
         LeaseEnded
-            When a lease is not known.
+            When a lease of a write has ended.
         """
         for key, revision in expected.items():
             held = self._items.get(key)
@@ -225,32 +229,38 @@
                 raise StoreConflict(Step.WRITE, _PEER, revision, found)
         for write in writes:
             if write.lease != NO_LEASE and write.lease not in self._leases:
-                raise _lose_lease()
+                raise _make_lease_ended()
         self.revision = Revision(self.revision + 1)
         for write in writes:
             self._change(write.key, write.value, write.lease)
         return self.position
 
     def open_lease(self, life: float, now: float) -> LeaseId:
-        """Return a new lease."""
+        """Open a lease and return its id."""
         self._last_lease += 1
         lease = LeaseId(self._last_lease)
         self._leases[lease] = _Lease(life, now + life)
         return lease
 
     def renew_lease(self, lease: LeaseId, now: float) -> None:
-        """Let a lease begin anew."""
+        """Extend a lease by its full life.
+
+        Raises
+        ------
+        LeaseEnded
+            When the lease has ended.
+        """
         held = self._leases.get(lease)
         if held is None:
-            raise _lose_lease()
+            raise _make_lease_ended()
         held.until = now + held.life
 
     def end_lease(self, lease: LeaseId) -> None:
-        """End a lease with its keys."""
+        """End a lease and remove its keys."""
         self.revoke(lease)
 
 
-def _lose_lease() -> LeaseEnded:
+def _make_lease_ended() -> LeaseEnded:
     return LeaseEnded(
         ErrorCode.STORE_CONFLICT, Step.WRITE, _PEER, "the lease has ended"
     )
--- a/sedgetide/testing/platformstore.py
+++ b/sedgetide/testing/platformstore.py
@@ -1,8 +1,9 @@
-"""The platform's store as a process, by the platform's own protocol.
+"""Simulated store process that implements the platform's protocol.
 
-Faults are asked for at ``POST /fault``: see :class:`StoreFault`. Besides,
-``forget`` drops its history, ``revoke`` its leases, and after ``restore`` it
-is away for some ``seconds`` and comes back from a copy of some ``age``.
+Faults are injected by ``POST /fault``, see :class:`StoreFault`. Three more
+kinds act once: ``forget`` drops the history, ``revoke`` revokes all leases,
+and ``restore`` makes the store unavailable for ``seconds`` and then restores
+it from a copy that is ``age`` seconds old.
 """
 
 import argparse
@@ -39,16 +40,16 @@
 from sedgetide.wire.server import Server
 
 _TICK = 0.05
-_PATIENCE = 30.0
-# Seconds, and how many of them are kept.
-_COPIED_EVERY = 0.25
-_COPIES = 40
-# Seconds within which operators have written again what was lost.
-_WRITTEN_AGAIN = 1.5
+_UNANSWERED_FOR = 30.0
+# Interval of copies in seconds, and number of copies that are kept.
+_COPY_INTERVAL = 0.25
+_MAX_COPIES = 40
+# Seconds within which operators repeat writes that a restore has lost.
+_REWRITE_WITHIN = 1.5
 
 
 class _Copy(msgspec.Struct, frozen=True):
-    """A copy of the store, and of which lease each entry has."""
+    """Copy of the store and of the lease of each registry entry."""
 
     made_at: float
     store: StoreCopy
@@ -60,7 +61,7 @@
     seconds: float = 0.0
 
 
-def _show(item: Item) -> dict[str, Any]:
+def _encode_item(item: Item) -> dict[str, Any]:
     if item.value is None:
         return {
             "key": item.key,
@@ -80,37 +81,37 @@
 
 
 class PlatformStoreServer:
-    """Serves a store model, with the faults that are asked for.
+    """HTTP server for a :class:`LeaseStoreModel`, with injected faults.
 
     Parameters
     ----------
     era : int
-        First era; while it is zero, none is named.
+        First era; answers carry no era while it is 0.
     """
 
     def __init__(self, era: int) -> None:
         self.model = LeaseStoreModel(era=Era(era))
         self._copies: collections.deque[_Copy] = collections.deque(
-            maxlen=_COPIES
+            maxlen=_MAX_COPIES
         )
         self._changes = ChangeSignal()
-        # What operators wrote last, whatever became of it.
-        self._wanted: dict[str, bytes | None] = {}
-        self._entries: dict[str, LeaseId] = {}
+        # Last value that operators wrote to each key, also if it was lost.
+        self._operator_values: dict[str, bytes | None] = {}
+        self._entry_leases: dict[str, LeaseId] = {}
         self._fault: StoreFault | None = None
         self._fault_until = 0.0
-        self._calls = {
+        self._handlers = {
             _names.ITEM_PATH: self._read,
             _names.RANGE_PATH: self._list,
             _names.WATCH_PATH: self._watch,
             _names.TRANSACTION_PATH: self._transact,
             _names.LEASE_PATH: self._open_lease,
-            "/fault": self._take_fault,
+            "/fault": self._set_fault,
             "/put": self._put,
         }
 
     def serve(self, request: Request) -> Answer:
-        """Answer one call, or do what the fault in force says."""
+        """Handle one call as the current fault prescribes."""
         answer = self._serve(request)
         era = self.model.era
         if era != FIRST_ERA:
@@ -128,7 +129,7 @@
             self._call(request)
         elif fault is StoreFault.LATE:
             gevent.spawn_later(3.0, self._call, request)
-        gevent.sleep(_PATIENCE)
+        gevent.sleep(_UNANSWERED_FOR)
         return _answer(503)
 
     def _find_fault(self) -> StoreFault | None:
@@ -137,7 +138,7 @@
         return self._fault
 
     def _call(self, request: Request) -> Answer:
-        call = self._calls.get(request.path, self._call_lease)
+        call = self._handlers.get(request.path, self._call_lease)
         try:
             answer = call(request)
         except StoreConflict:
@@ -157,7 +158,7 @@
         item = self.model.find(self._query(request)["key"])
         if item is None:
             return _answer(404)
-        return _answer(200, _show(item))
+        return _answer(200, _encode_item(item))
 
     def _list(self, request: Request) -> Answer:
         query = self._query(request)
@@ -165,7 +166,7 @@
         return _answer(
             200,
             {
-                "items": [_show(item) for item in listing.items],
+                "items": [_encode_item(item) for item in listing.items],
                 "has-more": False,
                 "as-of": listing.position.revision,
             },
@@ -180,11 +181,11 @@
             listing = self.model.list_changes(prefix, since)
             left = end - time.monotonic()
             if listing.items or left <= 0:
-                return self._show_events(listing)
+                return self._answer_events(listing)
             self._changes.wait(left)
 
-    def _show_events(self, listing: Listing) -> Answer:
-        events = [_show(item) for item in listing.items]
+    def _answer_events(self, listing: Listing) -> Answer:
+        events = [_encode_item(item) for item in listing.items]
         return _answer(
             200, {"events": events, "as-of": listing.position.revision}
         )
@@ -222,58 +223,60 @@
             return _answer(404)
         return _answer(200, {"ttl-ms": 0})
 
-    # What the operator, the upstreams and the tester do
+    # Calls of operators, upstreams and tests
 
     def _put(self, request: Request) -> Answer:
-        """Write a key, or remove it; with a life it lapses by itself."""
+        """Write or remove a key; one with a life expires unless renewed."""
         document = msgspec.json.decode(request.body)
         key, value = document["key"], document.get("value")
         if key.startswith(_names.OPERATOR_PREFIX):
-            wanted = None if value is None else msgspec.json.encode(value)
-            self._wanted[key] = wanted
+            operator_value = (
+                None if value is None else msgspec.json.encode(value)
+            )
+            self._operator_values[key] = operator_value
         if value is None:
             if self.model.find(key) is not None:
                 self.model.put(key, None)
             return _answer(200)
         raw = msgspec.json.encode(value)
-        lease = self._keep_entry(key, document.get("life"))
+        lease = self._renew_entry(key, document.get("life"))
         known = self.model.find(key)
         if known is None or known.value != raw:
             self.model.put(key, raw, lease)
         return _answer(200)
 
-    def _keep_entry(self, key: str, life: float | None) -> LeaseId:
-        """Renew the lease of an entry, or give it a new one."""
+    def _renew_entry(self, key: str, life: float | None) -> LeaseId:
+        """Renew the lease of an entry, or open a new one."""
         if life is None:
             return NO_LEASE
         now = time.monotonic()
-        lease = self._entries.get(key)
+        lease = self._entry_leases.get(key)
         try:
             if lease is None:
                 raise KeyError(key)
             self.model.renew_lease(lease, now)
         except (KeyError, LeaseEnded):
             lease = self.model.open_lease(life, now)
-            self._entries[key] = lease
+            self._entry_leases[key] = lease
         return lease
 
-    def _take_fault(self, request: Request) -> Answer:
+    def _set_fault(self, request: Request) -> Answer:
         document = msgspec.json.decode(request.body)
         if document["kind"] == "forget":
             self.model.forget_history()
         elif document["kind"] == "revoke":
             self.model.revoke_all(forget=document.get("forget", True))
         elif document["kind"] == "restore":
-            self._go_away(document["age"], document["seconds"])
+            self._begin_restore(document["age"], document["seconds"])
         else:
             fault = msgspec.convert(document, _Fault)
             self._fault = fault.kind
             self._fault_until = time.monotonic() + fault.seconds
         return _answer(200)
 
-    # Returns from a copy
+    # Restore from a copy
 
-    def _go_away(self, age: float, seconds: float) -> None:
+    def _begin_restore(self, age: float, seconds: float) -> None:
         made_before = time.monotonic() - age
         found = self._copies[0]
         for copy in self._copies:
@@ -281,38 +284,38 @@
                 found = copy
         self._fault = StoreFault.DOWN
         self._fault_until = float("inf")
-        gevent.spawn_later(seconds, self._come_back, found)
+        gevent.spawn_later(seconds, self._finish_restore, found)
 
-    def _come_back(self, copy: _Copy) -> None:
+    def _finish_restore(self, copy: _Copy) -> None:
         self._fault_until = 0.0
         self.model.restore(copy.store, time.monotonic())
-        self._entries = dict(copy.entries)
+        self._entry_leases = dict(copy.entries)
         self._copies.clear()
         self._changes.notify_all()
-        for key in self._wanted:
+        for key in self._operator_values:
             gevent.spawn_later(
-                random.uniform(0.0, _WRITTEN_AGAIN), self._write_again, key
+                random.uniform(0.0, _REWRITE_WITHIN), self._rewrite, key
             )
 
-    def _write_again(self, key: str) -> None:
-        """Have a key be as operators wrote it last."""
+    def _rewrite(self, key: str) -> None:
+        """Repeat the operators' last write of a key if it was lost."""
         found = self.model.find(key)
-        value = self._wanted[key]
+        value = self._operator_values[key]
         if value != (None if found is None else found.value):
             self.model.put(key, value)
             self._changes.notify_all()
 
     def copy_loop(self) -> None:
-        """Keep copies of the last seconds."""
+        """Make copies periodically; the oldest are dropped."""
         while True:
             copy = _Copy(
-                time.monotonic(), self.model.copy(), dict(self._entries)
+                time.monotonic(), self.model.copy(), dict(self._entry_leases)
             )
             self._copies.append(copy)
-            gevent.sleep(_COPIED_EVERY)
+            gevent.sleep(_COPY_INTERVAL)
 
     def expire_loop(self) -> None:
-        """Let leases lapse also while nobody calls."""
+        """Expire leases also while no calls arrive."""
         while True:
             gevent.sleep(_TICK)
             before = self.model.revision
@@ -322,7 +325,7 @@
 
 
 def main() -> int:
-    """Run until SIGTERM."""
+    """Run the store until SIGTERM."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--port", type=int, required=True)
     parser.add_argument("--era", type=int, default=0)
--- a/sedgetide/testing/ports.py
+++ b/sedgetide/testing/ports.py
@@ -1,28 +1,28 @@
-"""Ports for processes that are about to be started."""
+"""Allocation of ports for processes that are about to be started."""
 
 import contextlib
 import socket
 
 from sedgetide.runtime.sockets import open_listener
 
-# Below the range from which the kernel takes the ports of connections.
+# Below the kernel's range of ephemeral ports.
 _FIRST = 20_000
-# A suite needs some hundreds.
+# A run of the test suite needs some hundreds of ports.
 _SLICE = 500
 _SLICES = 24
-# One port for each slice; who listens there has the slice.
+# One port for each slice; the process that listens on it owns the slice.
 _FIRST_CLAIM = _FIRST - _SLICES
 
 
-class _Ports:
-    """Ports of slices that this process has claimed until it ends."""
+class _PortAllocator:
+    """Ports of the slices that this process owns until it exits."""
 
     def __init__(self) -> None:
         self._claims: list[socket.socket] = []
         self._waiting: list[int] = []
 
     def take(self) -> int:
-        """Return a port that nobody else can choose."""
+        """Return a port that no other process can get."""
         while True:
             if not self._waiting:
                 self._waiting = self._claim()
@@ -49,20 +49,21 @@
         )
 
 
-_PORTS = _Ports()
+_PORTS = _PortAllocator()
 
 
 def find_port() -> int:
-    """Return a port that is free and that nobody else will choose.
+    """Return a free port that no other process can get from this function.
 
-    One that the kernel had chosen may be given to an outgoing connection
-    before the process that it is for has bound it: that process ends, or a
-    call to it reaches another. The same came of slices by process id: of 900
-    ports that three processes started together chose, 428 were distinct.
+    A port chosen by the kernel may be assigned to an outgoing connection
+    before the process that it is meant for has bound it. That process then
+    fails to start, or calls to it reach another process. Slices by process id
+    had the same problem: of 900 ports chosen by three processes that were
+    started together, 428 were distinct.
 
     Raises
     ------
     OSError
-        When other processes have claimed all ports.
+        When other processes own all slices.
     """
     return _PORTS.take()
--- a/sedgetide/testing/proxies.py
+++ b/sedgetide/testing/proxies.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets, cuts and silences connections."""
+"""Loopback TCP proxy that delays, resets, blocks and silences connections."""
 
 import contextlib
 import enum
@@ -10,28 +10,29 @@
 
 from sedgetide.runtime.sockets import open_listener
 
-_BLOCK = 65536
-_FORGOTTEN = 0.2
+_BUFFER_SIZE = 65536
+_FORGET_AFTER_IDLE = 0.2
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class Mode(enum.Enum):
-    """What a proxy does with bytes.
+    """How a proxy treats connections.
 
     Attributes
     ----------
     PASS
-        Passes them on.
+        Data is forwarded.
     DELAY
-        Passes them on late.
+        Data is forwarded after a delay.
     CUT
-        Holds up both ways; they go on when it ends.
+        Data in both directions is held back until the mode ends.
     ONE_WAY
-        Holds up what goes to the server; answers still come.
+        Data to the server is held back; answers are forwarded.
     REFUSE
-        Resets every connection, also new ones.
+        Every connection is reset, also new ones.
     FORGET
-        Resets a connection on the first bytes that come after a rest.
+        A connection is reset when the client sends data after an idle time,
+        as if its state had been forgotten.
     """
 
     PASS = "pass"
@@ -43,22 +44,22 @@
 
 
 class _Pair:
-    """One connection through the proxy."""
+    """Both sockets of one connection through the proxy."""
 
-    def __init__(self, near: socket.socket, far: socket.socket) -> None:
-        self.near = near
-        self.far = far
+    def __init__(self, client: socket.socket, server: socket.socket) -> None:
+        self.client = client
+        self.server = server
         self.silent = False
         self._used_at = time.monotonic()
 
-    def note_use(self) -> float:
-        """Return for how long it rested, and count from now."""
+    def restart_idle_time(self) -> float:
+        """Return the idle time, and restart it."""
         now = time.monotonic()
-        rested, self._used_at = now - self._used_at, now
-        return rested
+        idle, self._used_at = now - self._used_at, now
+        return idle
 
     def reset(self) -> None:
-        for end in (self.near, self.far):
+        for end in (self.client, self.server):
             with contextlib.suppress(OSError):
                 end.setsockopt(
                     socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE
@@ -73,7 +74,7 @@
     Parameters
     ----------
     port : int
-        Port of the server behind it.
+        Port of the server.
     """
 
     def __init__(self, port: int) -> None:
@@ -88,50 +89,54 @@
 
     def _accept(self) -> None:
         while True:
-            near, _ = self._listener.accept()
-            gevent.spawn(self._connect, near)
+            client, _ = self._listener.accept()
+            gevent.spawn(self._connect, client)
 
-    def _connect(self, near: socket.socket) -> None:
+    def _connect(self, client: socket.socket) -> None:
         while self.mode is Mode.CUT:
             gevent.sleep(0.02)
         try:
-            far = socket.create_connection(("127.0.0.1", self.target), 1.0)
-            far.settimeout(None)
+            server = socket.create_connection(("127.0.0.1", self.target), 1.0)
+            server.settimeout(None)
         except OSError:
-            far = socket.socket()
-        pair = _Pair(near, far)
-        if self.mode is Mode.REFUSE or far.fileno() < 0:
+            server = socket.socket()
+        pair = _Pair(client, server)
+        if self.mode is Mode.REFUSE or server.fileno() < 0:
             pair.reset()
             return
         try:
-            far.getpeername()
+            server.getpeername()
         except OSError:
             pair.reset()
             return
-        for end in (near, far):
+        for end in (client, server):
             end.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._pairs.add(pair)
-        gevent.spawn(self._pump, pair, near, far, True)
-        gevent.spawn(self._pump, pair, far, near, False)
+        gevent.spawn(self._pump, pair, client, server, True)
+        gevent.spawn(self._pump, pair, server, client, False)
 
     def _pump(
         self,
         pair: _Pair,
         source: socket.socket,
         sink: socket.socket,
-        inward: bool,
+        to_server: bool,
     ) -> None:
         try:
             while True:
-                data = source.recv(_BLOCK)
-                rested = pair.note_use()
-                if self.mode is Mode.FORGET and inward and rested > _FORGOTTEN:
+                data = source.recv(_BUFFER_SIZE)
+                idle = pair.restart_idle_time()
+                if (
+                    self.mode is Mode.FORGET
+                    and to_server
+                    and idle > _FORGET_AFTER_IDLE
+                ):
                     pair.reset()
                     return
-                self._hold_up(inward)
+                self._hold_back(to_server)
                 if pair.silent and data:
-                    # Whoever lost track of the connection says nothing of
-                    # it, not even its end.
+                    # A host that has lost the connection sends neither data
+                    # nor a FIN or RST.
                     continue
                 if pair.silent:
                     return
@@ -144,10 +149,12 @@
         finally:
             self._pairs.discard(pair)
 
-    def _hold_up(self, inward: bool) -> None:
+    def _hold_back(self, to_server: bool) -> None:
         if self.mode is Mode.DELAY:
             gevent.sleep(self.delay)
-        while self.mode is Mode.CUT or (inward and self.mode is Mode.ONE_WAY):
+        while self.mode is Mode.CUT or (
+            to_server and self.mode is Mode.ONE_WAY
+        ):
             gevent.sleep(0.02)
 
     def reset_all(self) -> None:
@@ -156,12 +163,12 @@
             pair.reset()
 
     def silence_all(self) -> None:
-        """Let every open connection go silent for good."""
+        """Drop all further data of every open connection, without a reset."""
         for pair in list(self._pairs):
             pair.silent = True
 
     def close(self) -> None:
-        """Stop listening and reset what is open."""
+        """Stop listening and reset all open connections."""
         self._task.kill()
         self._listener.close()
         self.reset_all()
--- a/sedgetide/testing/rangeholder.py
+++ b/sedgetide/testing/rangeholder.py
@@ -1,7 +1,7 @@
-"""An upstream that holds ranges of keys under fenced grants, in memory.
+"""Grants and fences of a simulated upstream, in memory.
 
-It judges too: a pair of holders that begin requests on one key at a time,
-or a key taken at a fence that was passed by, is written down.
+The holder rejects grants whose fence is lower than one that was already seen
+on any of the keys, so that a delayed grant cannot take keys back.
 """
 
 import msgspec
@@ -18,12 +18,16 @@
 
 
 class RangeHolder:
-    """Grants and fences of one start of an upstream.
+    """Grants and fences of one incarnation of an upstream.
+
+    A grant entitles the upstream to run requests for a range of keys until
+    it expires. A fence is a number that rises with each move of a range; it
+    tells newer grants from older ones.
 
     Parameters
     ----------
     name : str
-        Its id.
+        Id of the upstream.
     """
 
     def __init__(self, name: str) -> None:
@@ -47,29 +51,29 @@
     def grant(
         self, keys: KeyRange, fence: Fence, hold: float, arrived_at: float
     ) -> bool:
-        """Take keys unless a higher fence was seen on any of them.
+        """Apply a grant unless a higher fence was seen on any of the keys.
 
         Parameters
         ----------
         arrived_at : float
-            When the order came; its life counts from then, whenever it is
-            carried out.
+            Time at which the grant arrived; the hold counts from then, even
+            if the grant is applied later.
         """
         if self._find_fence(keys) > fence:
             return False
         self._note_fence(keys, fence)
-        self._cut(keys)
+        self._remove_keys(keys)
         self._grants.append(_Grant(keys, fence, arrived_at + hold))
         return True
 
     def release(self, keys: KeyRange, fence: Fence) -> bool:
-        """Give keys back; return whether no work on them is left."""
+        """Release keys; return whether no request on them is running."""
         self._note_fence(keys, fence)
-        self._cut(keys)
+        self._remove_keys(keys)
         return not any(keys.low <= key <= keys.high for key in self.running)
 
-    def _cut(self, keys: KeyRange) -> None:
-        """Take keys out of all grants."""
+    def _remove_keys(self, keys: KeyRange) -> None:
+        """Remove the keys from all grants."""
         kept = []
         for grant in self._grants:
             if not grant.keys.overlaps(keys):
--- a/sedgetide/testing/rangeupstream.py
+++ b/sedgetide/testing/rangeupstream.py
@@ -1,7 +1,8 @@
-"""An upstream as a process: registers itself, holds ranges, runs requests.
+"""Simulated upstream process that registers, holds ranges and runs requests.
 
-By the platform's own protocol. Every run is a line on standard output, by
-the machine's monotonic clock: what the checks of a soak go by.
+It implements the platform's protocol. Each event is written as a JSON line to
+standard output with the time of the machine's monotonic clock; the checks of
+a soak read these lines.
 """
 
 import argparse
@@ -38,39 +39,40 @@
 
 _HEARTBEAT = 0.4
 _OK = 200
-# What a process ends with that a signal of the kernel has ended.
+# Exit status of a process that was ended by SIGSEGV, as a shell reports it.
 CRASHED = 139
-# Kind of the event of a cold upstream that is sent more than it bears.
+# Kind of event: a cold upstream received more requests than it accepts.
 FLOODED = "flooded"
-# Kinds of the events of an upstream that says something in its answers.
+# Kinds of events of an upstream with a script: a request arrived, and an
+# answer was sent with the values of the script.
 ARRIVED = "arrived"
 SAID = "said"
-# The registry has taken its word that it leaves.
+# Kind of event: the registry has acknowledged that the upstream leaves.
 LEFT = "left"
-_QUEUE = 8
+_QUEUE_LIMIT = 8
 _NOT_RUN = (_names.NOT_EXECUTED, "1")
 
 
 class Event(msgspec.Struct, frozen=True):
-    """One thing that happened at an upstream.
+    """One event at an upstream.
 
     Parameters
     ----------
     at : float
-        Machine's monotonic clock.
+        Time of the machine's monotonic clock.
     kind : str
-        ``begin`` or ``end`` of a run, ``flooded``, or, of an upstream that
-        asks something of its senders, ``arrived`` or ``said``.
+        ``begin`` or ``end`` of a run, ``flooded``, ``left``, or, at an
+        upstream with a script, ``arrived`` or ``said``.
     upstream : str
-        Id of this start of the process.
+        Id of this incarnation of the upstream.
     request : str
         Id of the request.
     key : int
-        Its key; -1 when it has none.
+        Key of the request; -1 when it has none.
     fence : int
-        Fence under which the key is held.
+        Fence of the grant that the key is held under.
     said : dict
-        What the answer says of the upstream, by kind.
+        Values of the script in the answer, by kind.
     """
 
     at: float
@@ -83,14 +85,14 @@
 
 
 class Leaving(enum.Enum):
-    """How an upstream tells the registry that it is about to end.
+    """How an upstream tells the registry that it is about to exit.
 
     Attributes
     ----------
     DRAINING
-        Its entry says so.
+        The state in its entry is draining.
     REMOVED
-        It takes its entry away.
+        It removes its entry.
     """
 
     NO = "no"
@@ -104,7 +106,7 @@
     Parameters
     ----------
     options : argparse.Namespace
-        Command line.
+        Parsed command line.
     """
 
     def __init__(self, options: argparse.Namespace) -> None:
@@ -121,41 +123,41 @@
         self._slowdown = Slowdown(options.name, options.cold > 0)
         self._script = Script(options.says)
         self._leaving = Leaving.NO
-        self._heard = False
+        self._leave_acknowledged = False
 
     def _read_clock(self) -> float:
-        """Return a clock that runs slow, as an upstream's may."""
+        """Return the time of a clock that may run slow."""
         return time.monotonic() * self._options.clock_rate
 
     def serve(self, request: Request) -> Answer:
-        """Answer an order or run a request."""
+        """Apply an order of a leader, or run a request."""
         expected = find_header(request.headers, _names.EXPECT_INSTANCE.lower())
         if expected is not None and expected != self.name:
             return Answer(_names.MISDIRECTED, [_NOT_RUN])
         if request.path == _names.GRANT_PATH:
-            return self._take_grant(request)
+            return self._apply_grant(request)
         if request.path == _names.RELEASE_PATH:
-            return self._take_release(request)
+            return self._apply_release(request)
         return self._answer(request)
 
     # Orders
 
-    def _take_grant(self, request: Request) -> Answer:
+    def _apply_grant(self, request: Request) -> Answer:
         order = msgspec.json.decode(request.body)
         arrived_at = self._read_clock()
         keys = KeyRange(order["from"], order["to"])
 
-        def carry_out() -> bool:
+        def apply_grant() -> bool:
             return self._holder.grant(
                 keys, order["fence"], order["hold-ms"] / 1000.0, arrived_at
             )
 
         if self._random.random() < self._options.late:
-            gevent.spawn_later(self._random.uniform(0.5, 6.0), carry_out)
+            gevent.spawn_later(self._random.uniform(0.5, 6.0), apply_grant)
             gevent.sleep(10.0)
-        return Answer(200 if carry_out() else _names.FENCED, [])
+        return Answer(200 if apply_grant() else _names.FENCED, [])
 
-    def _take_release(self, request: Request) -> Answer:
+    def _apply_release(self, request: Request) -> Answer:
         order = msgspec.json.decode(request.body)
         keys = KeyRange(order["from"], order["to"])
         self._holder.release(keys, order["fence"])
@@ -168,30 +170,30 @@
     # Requests
 
     def _answer(self, request: Request) -> Answer:
-        """Answer a request, and say what the script says by then."""
+        """Answer a request with the current values of the script."""
         if not self._script:
-            return self._take_request(request)
+            return self._admit(request)
         number = find_header(request.headers, _names.REQUEST_ID.lower()) or ""
-        self._tell(ARRIVED, number, -1, 0)
+        self._write_event(ARRIVED, number, -1, 0)
         if self._script.find(BACKOFF, time.monotonic()):
             answer = Answer(503, [_NOT_RUN])
         else:
-            answer = self._take_request(request)
+            answer = self._admit(request)
         values = self._script.list_values(time.monotonic())
         if answer.status != 503:
             values.pop(BACKOFF, None)
-        self._tell(SAID, number, -1, 0, values)
+        self._write_event(SAID, number, -1, 0, values)
         headers = [*answer.headers, *make_headers(values)]
         return Answer(answer.status, headers, answer.body)
 
-    def _take_request(self, request: Request) -> Answer:
+    def _admit(self, request: Request) -> Answer:
         number = find_header(request.headers, _names.REQUEST_ID.lower())
         if number is None:
             return Answer(400, [_NOT_RUN])
         if self._cold_start.is_flooded(time.monotonic()):
-            self._tell(FLOODED, number, -1, 0)
+            self._write_event(FLOODED, number, -1, 0)
             os._exit(CRASHED)
-        if self._waiting >= _QUEUE:
+        if self._waiting >= _QUEUE_LIMIT:
             return Answer(503, [_NOT_RUN])
         self._waiting += 1
         try:
@@ -211,7 +213,7 @@
             fence = self._holder.find_fence(Key(key), self._read_clock())
             if fence is None:
                 return Answer(_names.MISDIRECTED, [_NOT_RUN])
-        self._tell("begin", number, key, fence)
+        self._write_event("begin", number, key, fence)
         self._holder.running.append(Key(key))
         self._running += 1
         try:
@@ -222,7 +224,7 @@
             self._running -= 1
             self._holder.running.remove(Key(key))
             self._ended.notify_all()
-            self._tell("end", number, key, fence)
+            self._write_event("end", number, key, fence)
         body = f"{number} {key} ".encode() * 20
         failed = self._random.random() < self._options.failing
         return Answer(
@@ -250,7 +252,7 @@
         slots = self._options.slots
         return f"{self._running},{self._waiting},{slots},{slowdown}"
 
-    def _tell(
+    def _write_event(
         self,
         kind: str,
         number: str,
@@ -268,7 +270,7 @@
     # Registry
 
     def heartbeat_loop(self) -> None:
-        """Register, and say so again while the process lives."""
+        """Write the registry entry periodically while the process runs."""
         options = self._options
         entry = {
             "address": options.address,
@@ -278,8 +280,8 @@
                 "zone": options.data_centre,
                 "slots": options.slots,
             },
-            # The registry keeps the number of the first heartbeat in which
-            # anything else was new.
+            # Constant, because the registry keeps the sequence number of the
+            # first heartbeat since any other field changed.
             "status": {"state": "ready", "sequence": 1, "warmup-left-ms": 0},
             "born": options.born,
         }
@@ -291,15 +293,15 @@
             gone = self._leaving is Leaving.REMOVED
             leaving = self._leaving
             if self._register(None if gone else entry):
-                self._note_heard(leaving)
+                self._note_leave_acknowledged(leaving)
             gevent.sleep(_HEARTBEAT)
 
     def leave(self, how: Leaving) -> None:
-        """Say from now on that it leaves, and go on serving."""
+        """Announce in each heartbeat to leave, and continue to serve."""
         self._leaving = how
 
     def _register(self, entry: dict[str, Any] | None) -> bool:
-        """Write the entry, or remove it; return whether that was taken."""
+        """Write or remove the entry; return whether the registry did it."""
         request = self._make_heartbeat(entry)
         with contextlib.suppress(Exception):
             connection = self._registry.take(1.0)
@@ -308,10 +310,10 @@
             return answer.status == _OK
         return False
 
-    def _note_heard(self, leaving: Leaving) -> None:
-        if leaving is not Leaving.NO and not self._heard:
-            self._heard = True
-            self._tell(LEFT, "", -1, 0)
+    def _note_leave_acknowledged(self, leaving: Leaving) -> None:
+        if leaving is not Leaving.NO and not self._leave_acknowledged:
+            self._leave_acknowledged = True
+            self._write_event(LEFT, "", -1, 0)
 
     def _make_heartbeat(self, entry: dict[str, Any] | None) -> Request:
         body = msgspec.json.encode(
@@ -331,7 +333,7 @@
 
 
 def main() -> int:
-    """Run until SIGTERM."""
+    """Run the upstream until SIGTERM."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--name", required=True)
     parser.add_argument("--service", required=True)
@@ -346,26 +348,34 @@
     parser.add_argument("--keyed", action="store_true")
     parser.add_argument("--born", type=int, default=1)
     parser.add_argument(
-        "--crash-on", metavar="PATH", help="path that ends the process"
+        "--crash-on",
+        metavar="PATH",
+        help="path of requests that crash the process",
     )
     parser.add_argument(
-        "--cold", type=float, default=0.0, help="seconds cold at the start"
+        "--cold",
+        type=float,
+        default=0.0,
+        help="duration of the cold start in seconds",
     )
     parser.add_argument(
         "--most-cold",
         type=float,
         default=0.0,
-        help="arrivals a second above which it ends while it is cold",
+        help="requests per second above which the process exits while cold",
     )
     parser.add_argument(
-        "--failing", type=float, default=0.0, help="share of runs that fail"
+        "--failing",
+        type=float,
+        default=0.0,
+        help="share of requests answered with status 500",
     )
     parser.add_argument(
         "--says",
         metavar="SECONDS:KIND:VALUE",
         action="append",
         default=[],
-        help="what answers say from so many seconds after the start on",
+        help="value in answers from this time after the start on",
     )
     options = parser.parse_args()
     upstream = RangeUpstream(options)
--- a/sedgetide/testing/soakfleet.py
+++ b/sedgetide/testing/soakfleet.py
@@ -471,7 +471,7 @@
             if answer is not None and answer.status == 200:
                 return
             gevent.sleep(0.1)
-        raise TimeoutError(f"the store did not accept a write of {key!r}")
+        raise TimeoutError(f"the store did not accept a write of {key}")
 
     def supervise(self) -> None:
         """Restart crashed upstreams until this greenlet is killed."""
--- a/sedgetide/testing/soakpromises.py
+++ b/sedgetide/testing/soakpromises.py
@@ -124,13 +124,17 @@
                 name for name in others if self._has_finished(events, name)
             ]
             if alive:
-                self.problems.append(f"key {event.key}: {event} and {alive}")
+                self.problems.append(
+                    f"key {event.key}: {event} while {alive} run it"
+                )
             at_work[event.upstream] += 1
             fence, owner = fences.get(event.key, (0, event.upstream))
             if event.fence < fence or (
                 event.fence == fence and owner != event.upstream
             ):
-                self.problems.append(f"key {event.key}: {event}, {fence}")
+                self.problems.append(
+                    f"key {event.key}: {event} after fence {fence}"
+                )
             fences[event.key] = (event.fence, event.upstream)
 
     def _has_finished(self, events: list[Event], name: str) -> bool:
--- a/sedgetide/testing/soakpushback.py
+++ b/sedgetide/testing/soakpushback.py
@@ -140,18 +140,18 @@
     events: Sequence[Event], records: RecordsById, outages: HostOutages
 ) -> list[str]:
     """Return requests of hosts that knew that the upstream is leaving."""
-    told: dict[int, float] = {}
+    known_since: dict[int, float] = {}
     problems = []
     for event in events:
         record = records[event.request]
         if event.kind == SAID and event.said.get(LEAVING) == "1":
-            told.setdefault(record.host, event.at)
-        heard = told.get(record.host, float("inf"))
+            known_since.setdefault(record.host, event.at)
+        informed_at = known_since.get(record.host, float("inf"))
         forgotten = any(
-            record.host in each.hosts and each.ended > heard
+            record.host in each.hosts and each.ended > informed_at
             for each in outages
         )
-        late = record.at - heard - _DRAINED_WITHIN
+        late = record.at - informed_at - _DRAINED_WITHIN
         if event.kind == ARRIVED and late > 0 and not forgotten:
             problems.append(
                 f"{event.request} reached {event.upstream} "
@@ -235,15 +235,15 @@
     outages: HostOutages,
 ) -> list[float]:
     """Return arrival times of requests from hosts that knew of the limit."""
-    told: dict[int, float] = {}
+    known_since: dict[int, float] = {}
     counted = []
     for event in events:
         host = records[event.request].host
         if event.kind == SAID and LIMIT in event.said:
-            told.setdefault(host, event.at)
+            known_since.setdefault(host, event.at)
         elif event.kind == ARRIVED:
-            heard = told.get(host, float("inf"))
-            late = event.at >= heard + _KNOWN_AFTER
+            informed_at = known_since.get(host, float("inf"))
+            late = event.at >= informed_at + _KNOWN_AFTER
             if late and not _is_in_outage(host, event.at, outages):
                 counted.append(event.at)
     return counted
--- a/tests/testing/test_ports.py
+++ b/tests/testing/test_ports.py
@@ -1,4 +1,4 @@
-"""Tests of ports for processes that are about to be started."""
+"""Tests of the allocation of ports for processes."""
 
 import subprocess
 import sys
@@ -15,9 +15,9 @@
 
 class TestPorts(testtools.TestCase):
     def test_processes_side_by_side_get_ports_of_their_own(self):
-        # Two suites started together have neighbouring process ids, and
-        # each needs some hundred ports. One that both choose is bound by
-        # one of them only; calls of the other reach a stranger.
+        # Test suites that are started together have neighbouring process ids,
+        # and each needs some hundreds of ports. Only one of them can bind a
+        # port that both choose; calls of the other reach a foreign process.
         runs = [
             subprocess.Popen(
                 [sys.executable, "-c", _SCRIPT],
--- a/tests/testing/test_proxies.py
+++ b/tests/testing/test_proxies.py
@@ -9,7 +9,7 @@
 
 
 class TestProxy(testtools.TestCase):
-    """What each fault shows to the two ends."""
+    """Effect of each fault on both ends of a connection."""
 
     def setUp(self):
         super().setUp()
@@ -21,52 +21,52 @@
         self.addCleanup(self.proxy.close)
 
     def connect(self):
-        near = socket.create_connection(("127.0.0.1", self.proxy.port), 2.0)
-        self.addCleanup(near.close)
-        far, _ = self.listener.accept()
-        self.addCleanup(far.close)
-        return near, far
+        client = socket.create_connection(("127.0.0.1", self.proxy.port), 2.0)
+        self.addCleanup(client.close)
+        server, _ = self.listener.accept()
+        self.addCleanup(server.close)
+        return client, server
 
     def test_passes_bytes_and_the_end(self):
-        near, far = self.connect()
-        near.sendall(b"x")
-        self.assertEqual(b"x", far.recv(10))
-        near.shutdown(socket.SHUT_WR)
-        self.assertEqual(b"", far.recv(10))
+        client, server = self.connect()
+        client.sendall(b"x")
+        self.assertEqual(b"x", server.recv(10))
+        client.shutdown(socket.SHUT_WR)
+        self.assertEqual(b"", server.recv(10))
 
     def test_silent_connection_whose_end_closes(self):
-        # One end gives up; the other hears nothing of it, new connections
-        # work, and the proxy's loop goes on.
-        near, far = self.connect()
+        # One end closes; the other end is not told, new connections work,
+        # and the proxy does not stop.
+        client, server = self.connect()
         self.proxy.silence_all()
-        near.sendall(b"x")
-        near.close()
+        client.sendall(b"x")
+        client.close()
         gevent.sleep(0.05)
-        far.settimeout(0.05)
-        self.assertRaises(TimeoutError, far.recv, 10)
+        server.settimeout(0.05)
+        self.assertRaises(TimeoutError, server.recv, 10)
         self.connect()
 
     def test_reset(self):
-        near, far = self.connect()
+        client, server = self.connect()
         self.proxy.reset_all()
-        self.assertRaises(ConnectionResetError, near.recv, 10)
+        self.assertRaises(ConnectionResetError, client.recv, 10)
 
     def test_forgotten_connection_is_reset_when_it_is_used(self):
-        near, far = self.connect()
-        near.sendall(b"x")
-        self.assertEqual(b"x", far.recv(10))
+        client, server = self.connect()
+        client.sendall(b"x")
+        self.assertEqual(b"x", server.recv(10))
         self.proxy.mode = Mode.FORGET
         gevent.sleep(0.3)
-        near.sendall(b"x")
-        self.assertRaises(ConnectionResetError, near.recv, 10)
-        self.assertRaises(ConnectionResetError, far.recv, 10)
+        client.sendall(b"x")
+        self.assertRaises(ConnectionResetError, client.recv, 10)
+        self.assertRaises(ConnectionResetError, server.recv, 10)
 
     def test_cut_holds_bytes_up(self):
-        near, far = self.connect()
+        client, server = self.connect()
         self.proxy.mode = Mode.CUT
-        near.sendall(b"x")
-        far.settimeout(0.05)
-        self.assertRaises(TimeoutError, far.recv, 10)
+        client.sendall(b"x")
+        server.settimeout(0.05)
+        self.assertRaises(TimeoutError, server.recv, 10)
         self.proxy.mode = Mode.PASS
-        far.settimeout(2.0)
-        self.assertEqual(b"x", far.recv(10))
+        server.settimeout(2.0)
+        self.assertEqual(b"x", server.recv(10))
