--- a/sedgetide/testing/callers.py
+++ b/sedgetide/testing/callers.py
@@ -1,4 +1,4 @@
-"""Callers that send a steady load and remember what they were told."""
+"""Callers that send a constant load and record the results."""
 
 import itertools
 import time
@@ -14,17 +14,17 @@
 _TIMEOUT = 15.0
 
 
-class Told(msgspec.Struct, frozen=True):
-    """What a caller was told.
+class CallResult(msgspec.Struct, frozen=True):
+    """Result of one request.
 
     Parameters
     ----------
     operation : str
-        Id the upstream's journal shows too.
+        Operation id, as in the upstream's journal.
     began, took : float
-        Machine's monotonic clock, and seconds.
+        Start by the machine's monotonic clock, and duration in seconds.
     outcome : str
-        Outcome, or ``cut`` when no whole answer came.
+        Outcome in the answer, or ``cut`` when there was no complete answer.
     """
 
     operation: str
@@ -54,7 +54,7 @@
     headers: list[tuple[str, str]],
     body: bytes,
 ) -> HttpAnswer:
-    """Call the first entry that takes a connection, as a balancer would."""
+    """Call the first entry that accepts a connection, like a balancer."""
     for address in addresses[:-1]:
         try:
             return call(address, method, path, headers, body, _TIMEOUT)
@@ -64,13 +64,14 @@
     return call(addresses[-1], method, path, headers, body, _TIMEOUT)
 
 
-def send(addresses: list[str], method: str, path: str) -> Told:
-    """Send one request and check that its answer is its own and whole.
+def send(addresses: list[str], method: str, path: str) -> CallResult:
+    """Send one request and check that its answer is complete and matches.
 
     Parameters
     ----------
     addresses : list of str
-        Entries; the next is tried when one refuses the connection.
+        Addresses of entries; the next one is tried when one refuses the
+        connection.
     """
     operation = make_operation_id(time.time())
     headers = [("Idempotency-Key", operation), ("Sedgetide-Attempt", "1")]
@@ -80,7 +81,9 @@
         answer = _call_any(addresses, method, path, headers, body)
     except UpstreamError:
         took = time.monotonic() - began
-        return Told(operation, method, path, began, took, "cut", "", 0, False)
+        return CallResult(
+            operation, method, path, began, took, "cut", "", 0, False
+        )
     took = time.monotonic() - began
     outcome = answer.find_header("sedgetide-outcome") or ""
     whole = True
@@ -89,7 +92,7 @@
         whole = document["body"] == body.decode() and path.partition("?")[
             0
         ].endswith(document["path"])
-    return Told(
+    return CallResult(
         operation,
         method,
         path,
@@ -103,17 +106,17 @@
 
 
 class Load:
-    """A steady load on some entries.
+    """Constant load on some entries.
 
     Parameters
     ----------
     addresses : list of str
-        Entries, taken in turn; one that refuses connections is passed over
-        as the platform's balancer would.
+        Addresses of entries, used in turn; one that refuses connections is
+        skipped, as by the platform's balancer.
     paths : list of tuple
         Method and path, with ``{n}`` for a running number.
     rate : float
-        Requests a second.
+        Requests per second.
     names : int
         Number of different values of ``{n}``; 0 for a new one each time.
     """
@@ -127,7 +130,7 @@
     ) -> None:
         self._names = names
         self.addresses = addresses
-        self.told: list[Told] = []
+        self.call_results: list[CallResult] = []
         self._paths = paths
         self._interval = 1.0 / rate
         self._numbers = itertools.count()
@@ -135,14 +138,14 @@
         self._pacer: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Begin to send."""
+        """Start sending."""
         self._pacer = gevent.spawn(self._pace)
 
-    def stop(self) -> list[Told]:
-        """Stop, wait for the last answers and return all."""
+    def stop(self) -> list[CallResult]:
+        """Stop sending, wait for the last answers and return all results."""
         self._pacer.kill()
         gevent.joinall(list(self._running))
-        return self.told
+        return self.call_results
 
     def _pace(self) -> None:
         due = time.monotonic()
@@ -159,4 +162,6 @@
         turn = number % len(self.addresses)
         addresses = self.addresses[turn:] + self.addresses[:turn]
         name = str(number % self._names if self._names else number)
-        self.told.append(send(addresses, method, path.replace("{n}", name)))
+        self.call_results.append(
+            send(addresses, method, path.replace("{n}", name))
+        )
--- a/sedgetide/testing/demo.py
+++ b/sedgetide/testing/demo.py
@@ -1,7 +1,7 @@
-"""Both deployments as real processes, with a move and a killed keeper.
+"""Run both example deployments with real processes, a move and a loss.
 
-Usage: ``python -m sedgetide.testing.demo --output build/demo.json``, from a
-folder that holds ``examples``. Exits with 1 when a promise was broken.
+Usage: ``python -m sedgetide.testing.demo --output build/demo.json``, in a
+directory that contains ``examples``. Exits with 1 on a violation.
 """
 
 import argparse
@@ -22,14 +22,14 @@
 from sedgetide.testing.callers import Load
 from sedgetide.testing.fleet import Fleet
 from sedgetide.testing.fleet import wait_for
-from sedgetide.testing.processfaults import check_promises
+from sedgetide.testing.processfaults import find_violations
 from sedgetide.testing.processfaults import measure_unavailable
 
 _RATE = 60.0
-_NAMES = 40
-_CALM = 2.0
-_AFTER_MOVE = 3.0
-_AFTER_KILL = 5.0
+_KEY_COUNT = 40
+_TIME_BEFORE_MOVE = 2.0
+_TIME_AFTER_MOVE = 3.0
+_TIME_AFTER_KILL = 5.0
 _SERVED_WITHIN = 2.0
 
 _PATHS = {
@@ -50,7 +50,7 @@
 
 
 class Result(msgspec.Struct):
-    """What one deployment showed."""
+    """Results of one deployment."""
 
     deployment: str
     processes: int
@@ -65,7 +65,7 @@
 
 
 def _move_one_shard(fleet: Fleet, service: str) -> tuple[str, float]:
-    """Move one shard and return its name and how long that took."""
+    """Move one shard and return its name and the duration of the move."""
     grants = fleet.list_grants()
     homes = {
         each["name"]: each["data_centre"]
@@ -103,40 +103,40 @@
 
 
 def run_deployment(name: str, text: dict[str, Any], upstreams: int) -> Result:
-    """Run one deployment through a move and the loss of a keeper."""
+    """Run one deployment with a move and the loss of a keeper."""
     with Fleet(text, upstreams=upstreams) as fleet:
         fleet.start(keepers=3, entries=1)
         addresses = [
             entry.settings["listen"] for entry in fleet.entries.values()
         ]
-        load = Load(addresses, _PATHS[name], _RATE, _NAMES)
+        load = Load(addresses, _PATHS[name], _RATE, _KEY_COUNT)
         load.start()
-        gevent.sleep(_CALM)
+        gevent.sleep(_TIME_BEFORE_MOVE)
         before_move = time.monotonic()
         moved, move_seconds = _move_one_shard(fleet, _MOVED[name])
-        gevent.sleep(_AFTER_MOVE)
+        gevent.sleep(_TIME_AFTER_MOVE)
         killed_at = time.monotonic()
         victim = fleet.find_keeper(moved.rpartition(" ")[2])
         victim.process.kill()
-        gevent.sleep(_AFTER_KILL)
-        told = load.stop()
-        outcomes = collections.Counter(each.outcome for each in told)
-        unavailable = measure_unavailable(told, killed_at)
-        broken = check_promises(fleet, told)
+        gevent.sleep(_TIME_AFTER_KILL)
+        call_results = load.stop()
+        outcomes = collections.Counter(each.outcome for each in call_results)
+        unavailable = measure_unavailable(call_results, killed_at)
+        broken = find_violations(fleet, call_results)
         if unavailable > _SERVED_WITHIN:
-            broken.append(f"a key unavailable for {unavailable:.2f} s")
+            broken.append(f"a key was unavailable for {unavailable:.2f} s")
         refused_by_move = sum(
             1
-            for each in told
+            for each in call_results
             if before_move <= each.began < killed_at
             and each.outcome != "answered"
         )
         if refused_by_move:
-            broken.append(f"the move cut {refused_by_move} requests")
+            broken.append(f"{refused_by_move} requests failed in the move")
         return Result(
             name,
             len(fleet.upstreams) + len(fleet.keepers) + len(fleet.entries),
-            len(told),
+            len(call_results),
             dict(outcomes),
             moved,
             move_seconds,
@@ -155,16 +155,16 @@
             print(f"    {outcome:15} {count}")
         print(f"  moved             {each.moved}")
         print(f"  move took         {each.move_seconds:.3f} s")
-        print(f"  cut by the move   {each.refused_by_move}")
+        print(f"  failed in move    {each.refused_by_move}")
         print(f"  killed            {each.killed}")
         print(f"  key unavailable   {each.unavailable_seconds:.3f} s")
-        print(f"  broken promises   {len(each.broken)}")
+        print(f"  violations        {len(each.broken)}")
         for line in each.broken:
             print(f"    {line}")
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the demo and write its result."""
+    """Run the demo and write the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--output", default="build/demo.json")
     parser.add_argument("--examples", default="examples")
--- a/sedgetide/testing/directentry.py
+++ b/sedgetide/testing/directentry.py
@@ -1,7 +1,7 @@
 """Baseline for measurements: an entry that calls one upstream directly.
 
-It has the same HTTP server, the same connections to the upstream and no
-keeper, no queue, no ownership.
+It uses the same HTTP server and client as the product, without keepers,
+queues and ownership.
 """
 
 import argparse
@@ -17,20 +17,20 @@
 from sedgetide.core.identifiers import Epoch
 from sedgetide.testing import serving
 
-_LIMIT = 16 * 1024 * 1024
+_MAX_ANSWER_BYTES = 16 * 1024 * 1024
 _FOREVER = 1e9
 _TIMEOUT = 10.0
 
 
-class _Sink:
+class _Forwarder:
     def __init__(self, upstream: str) -> None:
-        self._client = HttpUpstream(upstream, _LIMIT, 1.0)
+        self._client = HttpUpstream(upstream, _MAX_ANSWER_BYTES, 1.0)
         self._numbers = itertools.count()
 
     def serve(
         self, request: falcon.Request, response: falcon.Response, **_: Any
     ) -> None:
-        """Pass a request on and its answer back."""
+        """Forward a request and return its answer."""
         work = UpstreamRequest(
             f"direct-{next(self._numbers)}",
             request.method,
@@ -54,7 +54,7 @@
     parser.add_argument("--upstream", required=True)
     options = parser.parse_args(arguments)
     application = falcon.App()
-    application.add_sink(_Sink(options.upstream).serve, "/")
+    application.add_sink(_Forwarder(options.upstream).serve, "/")
     return serving.serve_until_signal(
         application, options.address, options.port
     )
--- a/sedgetide/testing/faultreport.py
+++ b/sedgetide/testing/faultreport.py
@@ -1,4 +1,4 @@
-"""Runs the whole fault matrix and writes its report.
+"""Run the complete fault matrix and write its report.
 
 Usage: ``python -m sedgetide.testing.faultreport --output build/faults.json
 --page docs/FAULTS.md``. Exits with 1 on a violation.
@@ -22,7 +22,8 @@
 from sedgetide.testing.matrix import run_cells
 from sedgetide.testing.mutations import MUTATIONS
 from sedgetide.testing.processfaults import CELLS
-from sedgetide.testing.processfaults import check_promises
+from sedgetide.testing.processfaults import find_violations
+from sedgetide.testing.processfaults import LoadedFleet
 from sedgetide.testing.processfaults import LOSSES
 from sedgetide.testing.processfaults import Losses
 from sedgetide.testing.processfaults import make_fleet
@@ -30,33 +31,35 @@
 from sedgetide.testing.processfaults import measure_unavailable
 from sedgetide.testing.processfaults import ProcessCell
 from sedgetide.testing.processfaults import run_process_cell
-from sedgetide.testing.processfaults import Stage
 from sedgetide.testing.speed import make_text
 from sedgetide.testing.steps import STEPS
 
 _OUTAGE = 60.0
-_SPREAD_LIMIT = 2.0
-_REFUSAL_LIMIT = 0.02
+_MAX_PROPAGATION_TIME = 2.0
+_MAX_REFUSAL_TIME = 0.02
 
 _NOT_PROVED = """\
-- Upstreams that do not check orders: one that freezes with renewals in its
-  socket buffer and comes back after its shards were given away obeys them; two
-  owners for up to a grant's life. The cell is run and expected to break.
-- A request that had begun at an upstream before it froze, and ends after the
-  takeover. The journal counts its beginning.
-- A new process at an upstream's address while the old one, alive, is cut off
-  elsewhere, when the keeper changed at the same moment: the new keeper knows
-  no earlier incarnation to compare with.
-- Wall clocks of hosts more than `clock_skew` apart: operation ids from before
-  a keeper's tenure could count as newer. Callers that say
-  `Sedgetide-Attempt: 1` on a repeat.
-- A service taken out of the text and put in again with other shards or homes:
-  the fixed fields are compared with the text in force only, and the earlier
-  home may still grant its old rows. Give such a service a new name.
-- Decisions were not run with: a slow store, a connection that is silent while
-  new ones work, a lost or paused entry; these are cells with real processes.
-- Cuts between single real processes, and of data centres: run on the
-  decisions only. A store that returns to an older state after a restore.
+- Upstreams that do not check orders: one that is suspended with renewals in
+  its socket buffer, and resumes after its shards were reassigned, applies the
+  renewals. There are two owners for up to the life of a grant. The cell is
+  run and expected to break.
+- A request that began at an upstream before it was suspended, and ends after
+  the takeover. The journal counts the start of a request.
+- A new process at an upstream's address while the old one is alive and cut
+  off, when the keeper changes at the same moment: the new keeper knows no
+  earlier incarnation to compare with.
+- Wall clocks of hosts that differ by more than `clock_skew`: operation ids
+  from before a keeper's tenure could count as newer. Callers that send
+  `Sedgetide-Attempt: 1` with a retry.
+- A service that is removed from the configuration and added again with other
+  shards or homes: the fixed fields are compared with the current text only,
+  and the earlier home may still grant its old rows. Give such a service a new
+  name.
+- The simulation does not include a slow store, a connection that is silent
+  while new ones work, and a lost or paused entry; these are cells with real
+  processes.
+- Cuts between single real processes, and of data centres, are run in the
+  simulation only. A store that is restored to an older state is not covered.
 - Member lists under churn: joins and removals of more than three hosts.
 - The loss of all members of a data centre whose replacements have other
   names: they wait for an operator, and there is no command for that yet.
@@ -64,7 +67,7 @@
 
 
 class Mutated(msgspec.Struct, frozen=True):
-    """A mutation and what the matrix found."""
+    """A mutation and the violation that the matrix detected."""
 
     name: str
     promise: str
@@ -73,7 +76,7 @@
 
 
 class Report(msgspec.Struct):
-    """Everything one run found."""
+    """Results of one run."""
 
     cells: int
     held: int
@@ -108,31 +111,33 @@
 
 
 def measure_outage() -> tuple[float, list[str]]:
-    """Return unavailable time over an outage of the store alone."""
+    """Return the unavailable time and violations in a store outage."""
     with make_fleet() as fleet:
         fleet.start(keepers=3, entries=2)
-        stage = Stage(fleet)
-        stage.load.start()
+        loaded = LoadedFleet(fleet)
+        loaded.load.start()
         gevent.sleep(1.0)
-        struck_at = time.monotonic()
+        injected_at = time.monotonic()
         fleet.set_store_fault("down")
         gevent.sleep(_OUTAGE)
         fleet.set_store_fault("none")
         gevent.sleep(2.0)
-        told = stage.load.stop()
-        unanswered = [each for each in told if each.outcome != "answered"]
-        broken = check_promises(fleet, told)
+        call_results = loaded.load.stop()
+        unanswered = [
+            each for each in call_results if each.outcome != "answered"
+        ]
+        broken = find_violations(fleet, call_results)
         broken += [
             f"store outage alone: {each.outcome} {each.reason}"
             for each in unanswered
         ]
-        return measure_unavailable(told, struck_at), broken
+        return measure_unavailable(call_results, injected_at), broken
 
 
 def measure_refusal(requests: int = 40) -> float:
-    """Return the longest refusal once a data centre is known to be cut off.
+    """Return the longest time to a refusal for a data centre that is cut off.
 
-    Its keepers are frozen, which looks the same from another data centre.
+    Its keepers are suspended, which looks the same from another data centre.
     """
     text = make_text(slots=4, shards=12)
     text["data_centres"] = ["one", "two"]
@@ -155,15 +160,17 @@
             ]
         )
         gevent.sleep(1.0)
-        told = [send([address], "GET", f"/s/k{n}") for n in range(requests)]
-    refused = [each for each in told if each.outcome != "answered"]
+        call_results = [
+            send([address], "GET", f"/s/k{n}") for n in range(requests)
+        ]
+    refused = [each for each in call_results if each.outcome != "answered"]
     if not refused or any(e.reason != "cut-off" for e in refused):
         return float("inf")
     return max(each.took for each in refused)
 
 
-def measure_spread(edits: int = 5) -> float:
-    """Return the longest time until every process had a new text."""
+def measure_propagation(edits: int = 5) -> float:
+    """Return the longest time until all processes have a new configuration."""
     longest = 0.0
     with make_fleet() as fleet:
         fleet.start(keepers=6, entries=5)
@@ -184,9 +191,9 @@
 
 def _run_processes() -> tuple[list[ProcessCell], list[str]]:
     cells, not_run = [], []
-    for fault, step, strike in CELLS:
+    for fault, step, inject_fault in CELLS:
         try:
-            cell = run_process_cell(fault, step, strike)
+            cell = run_process_cell(fault, step, inject_fault)
         except (TimeoutError, LookupError) as error:
             not_run.append(f"{fault} at {step}: {error}")
             continue
@@ -195,7 +202,7 @@
     return cells, not_run
 
 
-def _show_matrix(cells: list[Cell]) -> list[str]:
+def _format_matrix(cells: list[Cell]) -> list[str]:
     verdicts = {
         (each.faults[0], each.step): each.verdict
         for each in cells
@@ -209,16 +216,16 @@
     return rows
 
 
-def _show_processes(cells: list[ProcessCell]) -> list[str]:
-    rows = ["| fault | step | unavailable, s | told | broken |"]
+def _format_process_cells(cells: list[ProcessCell]) -> list[str]:
+    rows = ["| fault | step | unavailable, s | outcomes | violations |"]
     rows.append("| --- | --- | --- | --- | --- |")
     for each in cells:
-        told = ", ".join(
+        outcomes = ", ".join(
             f"{count} {name}" for name, count in each.outcomes.items()
         )
         rows.append(
-            f"| {each.fault} | {each.step} | {each.unavailable:.3f} | {told} "
-            f"| {len(each.broken)} |"
+            f"| {each.fault} | {each.step} | {each.unavailable:.3f} "
+            f"| {outcomes} | {len(each.broken)} |"
         )
     return rows
 
@@ -229,13 +236,13 @@
     cells: list[Cell],
     process_cells: list[ProcessCell],
 ) -> None:
-    """Write the table as a page of the documentation."""
+    """Write the report as a page of the documentation."""
     lines = [
         "# Fault matrix",
         "",
         "Generated by `make faults`; not edited by hand.",
         "",
-        f"{report.cells} cells on the decisions (every fault at every step, "
+        f"{report.cells} cells in the simulation (every fault at every step, "
         "ordered pairs at four steps): "
         f"{report.held} held, {report.refused} refused honestly, "
         f"{report.dark} dark for more than 2 s, "
@@ -246,16 +253,16 @@
         "Dark: the longest time a shard was not served in its own data "
         "centre. Faults last 3 s.",
         "",
-        "## Decisions, in passed-in time",
+        "## Simulation",
         "",
-        *_show_matrix(cells),
+        *_format_matrix(cells),
         "",
         "## Real processes",
         "",
-        "Unavailable: the longest time one key could not be used, as its "
-        "callers saw it.",
+        "Unavailable: the longest time for which one key was not served, as "
+        "its callers saw it.",
         "",
-        *_show_processes(process_cells),
+        *_format_process_cells(process_cells),
         "",
         "| loss of | losses | median, s | worst, s |",
         "| --- | --- | --- | --- |",
@@ -268,16 +275,17 @@
     lines += [
         "",
         f"Store down for {_OUTAGE:.0f} s and no other fault: unavailable "
-        f"{report.outage_unavailable_s:.3f} s. A text in force in all of 11 "
-        f"processes after {report.configuration_in_force_s:.3f} s at most. "
-        "Keys of a data centre known to be cut off refused within "
+        f"{report.outage_unavailable_s:.3f} s. A new configuration was in "
+        f"force in all 11 processes after "
+        f"{report.configuration_in_force_s:.3f} s at most. Requests for keys "
+        "of a data centre known to be cut off were refused within "
         f"{report.cut_off_refusal_s:.3f} s at most.",
         "",
         "## Mutations",
         "",
-        "Each takes one safeguard away; the cell named breaks without it. "
-        "Answers that crossed or were cut are caught with real sockets in "
-        "`tests/backends/test_connection.py`.",
+        "Each mutation removes one safeguard; the named cell then shows a "
+        "violation. Mismatched and truncated answers are tested with real "
+        "sockets in `tests/backends/test_connection.py`.",
         "",
         "| safeguard taken away | promise | cell | found |",
         "| --- | --- | --- | --- |",
@@ -293,7 +301,7 @@
     path.write_text("\n".join(lines))
 
 
-def _sum_losses(losses: list[Losses]) -> dict[str, dict[str, float]]:
+def _summarize_losses(losses: list[Losses]) -> dict[str, dict[str, float]]:
     return {
         each.what: {
             "count": len(each.times),
@@ -305,15 +313,15 @@
 
 
 def run_all(losses: int) -> tuple[Report, list[Cell], list[ProcessCell]]:
-    """Run everything.
+    """Run the matrix, the mutations and all measurements.
 
     Parameters
     ----------
     losses : int
-        Losses of each kind of process.
+        Number of losses of each kind of process.
     """
     cells = run_cells([*list_singles(), *list_pairs()], os.cpu_count() or 1)
-    print(f"{len(cells)} cells on the decisions", flush=True)
+    print(f"{len(cells)} cells in the simulation", flush=True)
     mutations = _run_mutations()
     process_cells, not_run = _run_processes()
     broken = [
@@ -328,19 +336,23 @@
         for line in each.broken
     ]
     found = []
-    for what, strike in LOSSES:
-        measured, lines = measure_losses(what, strike, losses)
+    for what, inject_fault in LOSSES:
+        measured, lines = measure_losses(what, inject_fault, losses)
         found.append(measured)
         process_broken += lines
         print(f"{what}: {measured.times}", flush=True)
     outage, lines = measure_outage()
     process_broken += lines
-    spread = measure_spread()
-    if spread > _SPREAD_LIMIT:
-        process_broken.append(f"text in force after {spread:.3f} s")
+    propagation = measure_propagation()
+    if propagation > _MAX_PROPAGATION_TIME:
+        process_broken.append(
+            f"configuration in force after {propagation:.3f} s"
+        )
     refusal = measure_refusal()
-    if refusal > _REFUSAL_LIMIT:
-        process_broken.append(f"a cut-off key refused in {refusal:.3f} s")
+    if refusal > _MAX_REFUSAL_TIME:
+        process_broken.append(
+            f"a key of a cut-off data centre refused after {refusal:.3f} s"
+        )
     missed = [each.name for each in mutations if not each.found]
     verdicts = [each.verdict for each in cells]
     report = Report(
@@ -354,9 +366,9 @@
         len(process_broken),
         max(each.unavailable for each in process_cells),
         outage,
-        spread,
+        propagation,
         refusal,
-        _sum_losses(found),
+        _summarize_losses(found),
         mutations,
         broken
         + process_broken
@@ -366,7 +378,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the matrix and write both files."""
+    """Run the matrix and write the JSON file and the page."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--output", default="build/faults.json")
     parser.add_argument("--page", default="docs/FAULTS.md")
--- a/sedgetide/testing/fleet.py
+++ b/sedgetide/testing/fleet.py
@@ -1,7 +1,7 @@
-"""A deployment on this machine: real processes against stand-ins.
+"""Deployment of real daemons on this machine with a simulated environment.
 
-A tool for tests, the demo and measurements. No daemon and no product
-command starts a process.
+Store and upstreams are simulated. This is for tests, the demo and
+measurements only; no daemon and no product command starts a process.
 """
 
 from collections.abc import Callable
@@ -28,14 +28,15 @@
 from sedgetide.core.identifiers import Revision
 from sedgetide.testing.ports import find_port
 
-_LIMIT = 64 * 1024 * 1024
-_POLL = 0.02
-_STOP_TIME = 30.0
+_MAX_ANSWER_BYTES = 64 * 1024 * 1024
+_POLL_INTERVAL = 0.02
+_STOP_TIMEOUT = 30.0
 _OK = 200
-_SHOWN = 300
+_MAX_SHOWN_BYTES = 300
 
-# For tests that are not about losses. With the usual durations a machine that
-# stalls for half a second would show one, and requests in hand be unsure.
+# For tests that don't examine losses. With the default durations a machine
+# that stalls for half a second would cause a loss, and requests in progress
+# would get an uncertain outcome.
 PATIENT_OPTIONS = {
     "timing": {"silence": 3.0, "proof_life": 3.0, "grant_life": 4.0}
 }
@@ -55,7 +56,7 @@
     timeout: float = 10.0,
 ) -> HttpAnswer:
     """Send one request on a new connection."""
-    connection = HttpConnection(address, _LIMIT)
+    connection = HttpConnection(address, _MAX_ANSWER_BYTES)
     with contextlib.closing(connection):
         connection.open(timeout)
         return connection.exchange(method, path, headers, body, timeout)
@@ -67,7 +68,7 @@
     Raises
     ------
     TimeoutError
-        When it does not hold in time.
+        When it does not hold within the timeout.
     """
     deadline = time.monotonic() + timeout
     while True:
@@ -76,21 +77,21 @@
             if value:
                 return value
         if time.monotonic() > deadline:
-            raise TimeoutError(f"not in {timeout} s: {what}")
-        sleep(_POLL)
+            raise TimeoutError(f"timed out after {timeout} s: {what}")
+        sleep(_POLL_INTERVAL)
 
 
 class Process:
-    """One started process.
+    """One child process, started on construction.
 
     Parameters
     ----------
     name : str
-        For people.
+        Name for messages and files.
     module : str
         Module to run.
     arguments : list of str
-        Its command line.
+        Command line arguments of the module.
     log : pathlib.Path
         File for standard error.
     """
@@ -118,36 +119,36 @@
 
     @property
     def running(self) -> bool:
-        """Whether the process has not ended."""
+        """Whether the process has not exited."""
         return self._popen.poll() is None
 
     def kill(self) -> None:
-        """End the process without notice."""
+        """Kill the process."""
         self._popen.kill()
         self._popen.wait()
 
     def pause(self) -> None:
-        """Freeze the process."""
+        """Suspend the process by SIGSTOP."""
         os.kill(self.pid, signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a frozen process go on."""
+        """Resume the suspended process."""
         os.kill(self.pid, signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Ask the process to stop."""
+        """Request a planned stop by SIGTERM."""
         self._popen.terminate()
 
-    def join(self, timeout: float = _STOP_TIME) -> int:
-        """Wait for the end and return the exit code."""
+    def join(self, timeout: float = _STOP_TIMEOUT) -> int:
+        """Wait for the process to exit and return its exit code."""
         deadline = time.monotonic() + timeout
         while self.running and time.monotonic() < deadline:
-            sleep(_POLL)
+            sleep(_POLL_INTERVAL)
         return self._popen.wait(timeout=0.1)
 
 
 class Daemon(msgspec.Struct):
-    """A daemon of the fleet with its settings."""
+    """Daemon of a fleet with its settings."""
 
     process: Process
     module: str
@@ -165,42 +166,42 @@
         Raises
         ------
         AssertionError
-            When what answers is not this daemon, or could not make a dump.
-            Without a look at it, a caller finds out by a missing field, and
-            what was there instead is lost.
+            When another process answers, or the daemon fails to make a dump.
+            Without this check the caller would fail on a missing field, and
+            the message would not show the actual answer.
         """
         answer = call(self.admin, "GET", "/state", timeout=2.0)
         place = f"{self.module} at {self.admin}"
-        body = answer.body[:_SHOWN]
+        body = answer.body[:_MAX_SHOWN_BYTES]
         assert answer.status == _OK, f"{place}: {answer.status} {body!r}"
         state = msgspec.json.decode(answer.body)
         own = state["host"] == self.settings["host"]
-        assert own and self.is_own_kind(state), f"{place}: {body!r}"
+        assert own and self.is_same_kind(state), f"{place}: {body!r}"
         return state
 
-    def is_own_kind(self, state: dict[str, Any]) -> bool:
-        """Tell whether a dump is of this daemon's program."""
+    def is_same_kind(self, state: dict[str, Any]) -> bool:
+        """Return whether a dump comes from a daemon of this kind."""
         return ("upstreams" in state) == self.module.endswith("keeper")
 
     def is_ready(self) -> bool:
-        """Ask for readiness."""
+        """Return whether the daemon reports ready."""
         return call(self.admin, "GET", "/readyz", timeout=2.0).status == 200
 
 
 class Fleet:
-    """One deployment with its own stand-in store.
+    """One deployment with its own simulated store.
 
     Parameters
     ----------
     text : dict
-        Operators' text; the addresses of upstreams are replaced by those
-        of the stand-ins.
+        Configuration text; the addresses of upstreams are replaced by those
+        of the simulated upstreams.
     upstreams : int
-        Upstreams kept for each service in each data centre.
+        Number of upstreams to start for each service in each data centre.
     service_ms : float
-        Time the upstreams take for a request.
+        Service time of the upstreams for a request.
     options : dict
-        Settings that every daemon gets besides its own.
+        Additional settings of every daemon.
     """
 
     def __init__(
@@ -221,7 +222,7 @@
         self._folder = pathlib.Path(
             self._stack.enter_context(tempfile.TemporaryDirectory())
         )
-        self._reduce(upstreams)
+        self._select_upstreams(upstreams)
 
     def __enter__(self) -> "Fleet":
         return self
@@ -229,14 +230,14 @@
     def __exit__(self, *_: object) -> None:
         self.close()
 
-    def _reduce(self, count: int) -> None:
+    def _select_upstreams(self, count: int) -> None:
         for service in self.text["services"]:
             kept = []
-            for centre in self.text["data_centres"]:
+            for data_centre in self.text["data_centres"]:
                 kept += [
                     each
                     for each in service["upstreams"]
-                    if each["data_centre"] == centre
+                    if each["data_centre"] == data_centre
                 ][:count]
             for upstream in kept:
                 upstream["address"] = reserve_address()
@@ -251,14 +252,14 @@
         }
 
     def start_store(self) -> None:
-        """Start the stand-in store."""
+        """Start the simulated store."""
         port = self.store_address.rpartition(":")[2]
         self.store = self._run(
             "store", "sedgetide.testing.store", "--port", port
         )
 
     def start_upstreams(self) -> None:
-        """Start a stand-in for each upstream of the text."""
+        """Start a simulated upstream for each one in the configuration."""
         for service in self.text["services"]:
             for upstream in service["upstreams"]:
                 self.start_upstream(service, upstream)
@@ -266,7 +267,7 @@
     def start_upstream(
         self, service: dict[str, Any], upstream: dict[str, Any]
     ) -> None:
-        """Start the stand-in of one upstream."""
+        """Start one simulated upstream."""
         arguments = [
             "--name",
             upstream["name"],
@@ -289,22 +290,24 @@
 
     def start_daemons(self, keepers: int = 3, entries: int = 1) -> None:
         """Start keepers and entries in every data centre."""
-        for centre in self.text["data_centres"]:
+        for data_centre in self.text["data_centres"]:
             links = [reserve_address() for _ in range(keepers)]
             for number, link in enumerate(links):
-                host = f"{centre}-{number + 1}"
-                self.start_keeper(host, centre, link, links)
+                host = f"{data_centre}-{number + 1}"
+                self.start_keeper(host, data_centre, link, links)
             for number in range(entries):
-                self.start_entry(f"{centre}-{number + 1}", centre, links)
+                self.start_entry(
+                    f"{data_centre}-{number + 1}", data_centre, links
+                )
 
     def start_keeper(
-        self, host: str, centre: str, link: str, links: list[str]
+        self, host: str, data_centre: str, link: str, links: list[str]
     ) -> None:
         """Start one keeper."""
         settings = {
             **self._options,
             "host": host,
-            "data_centre": centre,
+            "data_centre": data_centre,
             "link": link,
             "admin": reserve_address(),
             "stores": [self.store_address],
@@ -312,12 +315,14 @@
         }
         self.keepers[host] = self._start_daemon("keeper", host, settings)
 
-    def start_entry(self, host: str, centre: str, links: list[str]) -> None:
+    def start_entry(
+        self, host: str, data_centre: str, links: list[str]
+    ) -> None:
         """Start one entry."""
         settings = {
             **self._options,
             "host": host,
-            "data_centre": centre,
+            "data_centre": data_centre,
             "listen": reserve_address(),
             "link": reserve_address(),
             "admin": reserve_address(),
@@ -335,11 +340,11 @@
         return Daemon(process, module, settings, path)
 
     def start_tool(self, name: str, module: str, *arguments: str) -> Process:
-        """Start another program that ends with the fleet."""
+        """Start another program, which is killed with the fleet."""
         return self._run(name, module, *arguments)
 
     def restart(self, daemon: Daemon) -> None:
-        """Start a daemon that has ended once more."""
+        """Restart a daemon that has exited."""
         name = daemon.process.name
         daemon.process = self._run(name, daemon.module, str(daemon.path))
 
@@ -350,7 +355,7 @@
         return process
 
     def apply_text(self) -> Revision:
-        """Put the fleet's text in force."""
+        """Apply the fleet's configuration text."""
         store = HttpStore([self.store_address], 5.0)
         with contextlib.closing(store):
             base = read_text(store).revision
@@ -358,7 +363,7 @@
             return apply_text(store, content, base)
 
     def start(self, keepers: int = 3, entries: int = 1) -> None:
-        """Start everything and wait until it serves."""
+        """Start all processes and wait until requests are served."""
         self.start_store()
         self.start_upstreams()
         address = self.store_address
@@ -379,7 +384,7 @@
             wait_for(entry.is_ready, timeout, "entry ready")
 
     def list_grants(self) -> dict[str, tuple[str, int]]:
-        """Return upstream and epoch of each shard as the keepers see it."""
+        """Return upstream and epoch of each shard, from the keepers' state."""
         grants = {}
         for keeper in self.keepers.values():
             if not keeper.process.running:
@@ -392,7 +397,7 @@
         return grants
 
     def find_service(self, upstream: str) -> tuple[dict, dict]:
-        """Return the text's entries of an upstream's service and itself."""
+        """Return the configuration of an upstream's service and of itself."""
         for service in self.text["services"]:
             for each in service["upstreams"]:
                 if each["name"] == upstream:
@@ -420,20 +425,20 @@
             for each in keeper.fetch_state()["upstreams"]:
                 if each["upstream"] == upstream and not each["standing_back"]:
                     return keeper
-        raise LookupError(f"nobody keeps {upstream}")
+        raise LookupError(f"no running keeper keeps upstream {upstream}")
 
     def set_store_fault(self, fault: str, delay: float = 0.0) -> None:
-        """Switch the store to a fault, or to ``none``."""
+        """Inject a fault into the store; ``none`` ends it."""
         body = msgspec.json.encode({"fault": fault, "delay": delay})
         call(self.store_address, "POST", "/fault", body=body)
 
     def set_upstream_fault(self, name: str, **behaviour: Any) -> None:
-        """Change the behaviour of a stand-in upstream."""
+        """Change the behaviour of a simulated upstream."""
         address = self.list_upstreams()[name]
         call(address, "POST", "/fault", body=msgspec.json.encode(behaviour))
 
     def read_journals(self) -> list[dict[str, Any]]:
-        """Return what all upstreams really ran, by start."""
+        """Return the requests that all upstreams ran, by start time."""
         entries = [
             msgspec.json.decode(line)
             for path in self._folder.glob("*.journal")
@@ -442,7 +447,7 @@
         return sorted(entries, key=lambda each: each["began"])
 
     def show_logs(self) -> str:
-        """Return what the processes logged, for a failed test."""
+        """Return the ends of all logs, for the report of a failed test."""
         return "\n".join(
             f"== {path.name}\n{path.read_text()[-3000:]}"
             for path in sorted(self._folder.glob("*.log"))
--- a/sedgetide/testing/journals.py
+++ b/sedgetide/testing/journals.py
@@ -1,4 +1,4 @@
-"""Checks of what the upstreams really ran."""
+"""Checks of the journals in which upstreams record what they ran."""
 
 import collections
 from collections.abc import Iterable
@@ -9,12 +9,12 @@
 
 
 def find_doubled(journal: Iterable[dict[str, Any]]) -> list[str]:
-    """Return operations that are not idempotent and ran more than once.
+    """Return non-idempotent operations that ran more than once.
 
     Parameters
     ----------
     journal : iterable of dict
-        Entries of all upstreams.
+        Journal entries of all upstreams.
     """
     counts = collections.Counter(
         each["operation"]
@@ -25,11 +25,11 @@
 
 
 def find_two_owners(journal: Sequence[dict[str, Any]]) -> list[str]:
-    """Return places where more than one upstream acted as an owner.
+    """Return violations of single ownership.
 
-    An epoch belongs to one upstream, and once an operation of a higher
-    epoch has begun, none of a lower one may begin. The clocks of all
-    stand-ins are that of the machine.
+    Only one upstream may run operations of a shard in an epoch, and once an
+    operation of a higher epoch has begun, none of a lower one may begin. All
+    upstreams use the clock of the same machine.
     """
     problems = []
     owners: dict[tuple[str, int], str] = {}
@@ -55,7 +55,7 @@
 def find_false_refusals(
     journal: Iterable[dict[str, Any]], refused: Iterable[str]
 ) -> list[str]:
-    """Return operations that ran although their caller was told not-run."""
+    """Return operations that ran although the outcome was ``not-run``."""
     ran = {each["operation"] for each in journal}
     return sorted(ran & set(refused))
 
--- a/sedgetide/testing/logcost.py
+++ b/sedgetide/testing/logcost.py
@@ -1,7 +1,7 @@
-"""What logs cost a host: processor time and bytes for each request.
+"""Measure the cost of request logs: processor time and bytes per request.
 
-Two hosts of one fleet serve the same requests by turns, one of them with
-logs of every request and one without.
+Two hosts of one fleet serve the same number of requests in turn, one of them
+with a log line for every request and one without.
 
     python -m sedgetide.testing.logcost --output build/logcost.json
 """
@@ -21,11 +21,11 @@
 from sedgetide.wire.client import Connection
 from sedgetide.wire.messages import Request
 
-_SETTLED = 3.0
+_SETTLING_TIME = 3.0
 _ROUNDS = 10
 _KEYS = 65536
-# The third host is stronger and leads, so that the two that are compared have
-# no other work.
+# The third host has more processor time and therefore becomes the leader, so
+# that the two hosts that are compared have no other work.
 _OPTIONS = (
     {"log_level": "INFO", "processor_share": 0.1},
     {"log_level": "ERROR", "processor_share": 0.1},
@@ -33,7 +33,9 @@
 )
 
 
-def _ask(host: SoakHost, count: int, numbers: itertools.count) -> None:
+def _send_requests(
+    host: SoakHost, count: int, numbers: itertools.count
+) -> None:
     connection = Connection(host.front.address, 1 << 20)
     connection.open(1.0)
     try:
@@ -55,38 +57,38 @@
     Parameters
     ----------
     count : int
-        Requests to each host.
+        Number of requests to each host.
     folder : pathlib.Path
-        Where settings and output of the processes go.
+        Folder for settings and process output.
     """
     fleet = Fleet(folder, 0.0, _OPTIONS)
     try:
         fleet.start()
-        gevent.sleep(_SETTLED)
-        logging, silent = fleet.hosts[:2]
+        gevent.sleep(_SETTLING_TIME)
+        logged, unlogged = fleet.hosts[:2]
         numbers = itertools.count()
-        spent = {logging.name: 0.0, silent.name: 0.0}
-        written = logging.program.output.stat().st_size
+        spent = {logged.name: 0.0, unlogged.name: 0.0}
+        written = logged.program.output.stat().st_size
         for _ in range(_ROUNDS):
-            for host in (logging, silent):
+            for host in (logged, unlogged):
                 before = host.program.read_processor_time()
-                _ask(host, count // _ROUNDS, numbers)
+                _send_requests(host, count // _ROUNDS, numbers)
                 after = host.program.read_processor_time()
                 spent[host.name] += after - before
-        written = logging.program.output.stat().st_size - written
+        written = logged.program.output.stat().st_size - written
     finally:
         fleet.close()
     return {
         "requests": count,
-        "ms_with": round(spent[logging.name] / count * 1000, 3),
-        "ms_without": round(spent[silent.name] / count * 1000, 3),
-        "ratio": round(spent[logging.name] / spent[silent.name], 3),
+        "ms_with": round(spent[logged.name] / count * 1000, 3),
+        "ms_without": round(spent[unlogged.name] / count * 1000, 3),
+        "ratio": round(spent[logged.name] / spent[unlogged.name], 3),
         "bytes_each": round(written / count),
     }
 
 
 def main() -> int:
-    """Measure, print, and write the figures."""
+    """Measure, and print and write the figures."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--count", type=int, default=1000)
     parser.add_argument("--output", type=pathlib.Path, required=True)
--- a/sedgetide/testing/losses.py
+++ b/sedgetide/testing/losses.py
@@ -1,7 +1,7 @@
-"""How long keys are dark after the loss of their upstream.
+"""Measure how long a key is unavailable after the loss of its upstream.
 
-Ten times an upstream of the soak's fleet is killed, and one of its keys is
-asked for until it is served again.
+By default ten times, an upstream of the soak's fleet is killed, and requests
+for one of its keys are sent until one is served.
 
     python -m sedgetide.testing.losses --output build/losses.json
 """
@@ -26,21 +26,21 @@
 from sedgetide.wire.client import Connection
 from sedgetide.wire.messages import Request
 
-_PAUSE = 0.02
-_SETTLED = 4.0
-_GIVEN_UP = 30.0
+_RETRY_DELAY = 0.02
+_SETTLING_TIME = 4.0
+_SERVED_WITHIN = 30.0
 _DEADLINE_MS = "300"
 
 
-class Losses:
-    """Kills upstreams and asks for their keys.
+class LossMeter:
+    """Kills upstreams and requests their keys until they are served.
 
     Parameters
     ----------
     fleet : Fleet
-        Started.
+        A fleet that serves requests.
     seed : int
-        Decides which keys.
+        Seed that determines the keys.
     """
 
     def __init__(self, fleet: Fleet, seed: int) -> None:
@@ -49,40 +49,40 @@
         self._numbers = itertools.count()
 
     def measure(self) -> float:
-        """Return the seconds from a kill to the next answer for a key."""
+        """Return the seconds from a kill to the next answer for its key."""
         key = self._random.randrange(LAST_KEY + 1)
         owner = self._find_owner(key)
         owner.program.close()
         began = time.monotonic()
-        self._ask_until_served(key)
-        dark = time.monotonic() - began
+        self._request_until_served(key)
+        unavailable = time.monotonic() - began
         owner.start()
-        gevent.sleep(_SETTLED)
-        return dark
+        gevent.sleep(_SETTLING_TIME)
+        return unavailable
 
     def _find_owner(self, key: int) -> SoakUpstream:
-        number = self._ask_until_served(key)
+        number = self._request_until_served(key)
         for event in reversed(self._fleet.read_events()):
             if event.request == number:
                 return self._find_upstream(event.upstream)
-        raise LookupError(f"key {key}: no upstream says that it ran {number}")
+        raise LookupError(f"key {key}: no upstream has recorded {number}")
 
     def _find_upstream(self, name: str) -> SoakUpstream:
         for upstream in self._fleet.upstreams:
             if upstream.program.name == name:
                 return upstream
-        raise LookupError(f"{name} is no running upstream")
+        raise LookupError(f"{name} is not a running upstream")
 
-    def _ask_until_served(self, key: int) -> str:
-        end = time.monotonic() + _GIVEN_UP
+    def _request_until_served(self, key: int) -> str:
+        end = time.monotonic() + _SERVED_WITHIN
         while time.monotonic() < end:
             number = f"loss-{next(self._numbers)}"
-            if self._ask(number, key):
+            if self._request(number, key):
                 return number
-            gevent.sleep(_PAUSE)
-        raise TimeoutError(f"key {key} was not served in {_GIVEN_UP:g} s")
+            gevent.sleep(_RETRY_DELAY)
+        raise TimeoutError(f"key {key} was not served in {_SERVED_WITHIN:g} s")
 
-    def _ask(self, number: str, key: int) -> bool:
+    def _request(self, number: str, key: int) -> bool:
         host = self._random.choice(self._fleet.hosts)
         headers = [
             ("Host", HOST),
@@ -102,42 +102,42 @@
 
 
 def measure_losses(count: int, seed: int, folder: pathlib.Path) -> list[float]:
-    """Return the dark seconds of some losses.
+    """Return the unavailable time of each loss in seconds.
 
     Parameters
     ----------
     count : int
         Number of losses.
     seed : int
-        Decides which keys.
+        Seed that determines the keys.
     folder : pathlib.Path
-        Where settings and output of the processes go.
+        Folder for settings and process output.
     """
     fleet = Fleet(folder, late_grants=0.0)
     try:
         fleet.start()
-        gevent.sleep(_SETTLED)
-        losses = Losses(fleet, seed)
-        return [losses.measure() for _ in range(count)]
+        gevent.sleep(_SETTLING_TIME)
+        meter = LossMeter(fleet, seed)
+        return [meter.measure() for _ in range(count)]
     finally:
         fleet.close()
 
 
 def main() -> int:
-    """Measure, print, and write the figures."""
+    """Measure, and print and write the figures."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--count", type=int, default=10)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--output", type=pathlib.Path, required=True)
     options = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder:
-        dark = measure_losses(
+        unavailable = measure_losses(
             options.count, options.seed, pathlib.Path(folder)
         )
     figures = {
-        "seconds": [round(each, 3) for each in dark],
-        "median": round(statistics.median(dark), 3),
-        "worst": round(max(dark), 3),
+        "seconds": [round(each, 3) for each in unavailable],
+        "median": round(statistics.median(unavailable), 3),
+        "worst": round(max(unavailable), 3),
     }
     options.output.parent.mkdir(parents=True, exist_ok=True)
     options.output.write_bytes(msgspec.json.encode(figures))
--- a/sedgetide/testing/ownershipworld.py
+++ b/sedgetide/testing/ownershipworld.py
@@ -57,7 +57,7 @@
 _FAULT_TIMES = (0.3, 1.0, 2.0, 4.0, 8.0, 16.0, 30.0)
 _NEVER = float("inf")
 # One copy is made in each step, so the oldest one is 8 s old.
-_COPIES = 80
+_MAX_COPIES = 80
 
 
 class _DelayedAction(msgspec.Struct):
@@ -156,7 +156,7 @@
         self.moves_completed = 0
         self._delayed: list[_DelayedAction] = []
         self._copies: collections.deque[tuple[float, StoreCopy]] = (
-            collections.deque(maxlen=_COPIES)
+            collections.deque(maxlen=_MAX_COPIES)
         )
         self._faults = [
             self._pause,
--- a/sedgetide/testing/processfaults.py
+++ b/sedgetide/testing/processfaults.py
@@ -1,7 +1,8 @@
-"""Cells of the fault matrix with real processes and sockets.
+"""Cells of the fault matrix that run with real processes and sockets.
 
-The stand-ins' journals and the callers' answers are checked as in the small
-world; darkness is measured per key, as callers see it.
+The journals of the simulated upstreams and the answers to callers are checked
+as in the simulation. Unavailability is measured for each key, as its callers
+see it.
 """
 
 from collections.abc import Callable
@@ -16,8 +17,8 @@
 from sedgetide.command.configuration import set_upstream_state
 from sedgetide.core.configuration.services import UpstreamState
 from sedgetide.core.errors import StoreConflict
+from sedgetide.testing.callers import CallResult
 from sedgetide.testing.callers import Load
-from sedgetide.testing.callers import Told
 from sedgetide.testing.fleet import Daemon
 from sedgetide.testing.fleet import Fleet
 from sedgetide.testing.fleet import wait_for
@@ -28,11 +29,11 @@
 from sedgetide.testing.speed import make_text
 
 _RATE = 120.0
-_NAMES = 40
-_WARM = 1.0
-_PAUSE = 3.0
-_AFTER = 3.0
-_LEAVES_WITHIN = 2.0
+_KEY_COUNT = 40
+_WARMUP_TIME = 1.0
+_FAULT_TIME = 3.0
+_RECOVERY_TIME = 3.0
+_DRAINED_WITHIN = 2.0
 
 
 class ProcessCell(msgspec.Struct, frozen=True):
@@ -47,7 +48,7 @@
 
 
 def make_fleet() -> Fleet:
-    """Return a data centre of three upstreams, not yet started."""
+    """Return a fleet of one data centre and three upstreams, not started."""
     text = make_text(slots=4, shards=12)
     service = text["services"][0]
     service["upstreams"] = [
@@ -56,26 +57,26 @@
     return Fleet(text, upstreams=3)
 
 
-def measure_unavailable(told: list[Told], since: float) -> float:
-    """Return the longest time one key could not be used.
+def measure_unavailable(call_results: list[CallResult], since: float) -> float:
+    """Return the longest time for which one key was unavailable.
 
     Parameters
     ----------
-    told : list of Told
-        What callers were told.
+    call_results : list of CallResult
+        Results of all requests.
     since : float
-        Requests that ended before count for nothing.
+        Requests that ended before this time are ignored.
 
     Returns
     -------
     float
-        Seconds from the start of a request that was not answered to the
-        end of the next answered one of its key; also the longest wait for
-        an answer.
+        Longest time in seconds from the start of a request that was not
+        answered to the end of the next answered one of its key, or the
+        longest time to an answer if that is longer.
     """
     longest = 0.0
     failed_since: dict[str, float] = {}
-    for each in sorted(told, key=lambda each: each.began):
+    for each in sorted(call_results, key=lambda each: each.began):
         if each.began + each.took < since:
             continue
         if each.outcome != "answered":
@@ -86,13 +87,13 @@
     return longest
 
 
-class Stage:
-    """A started fleet under load.
+class LoadedFleet:
+    """Fleet under load.
 
     Parameters
     ----------
     fleet : Fleet
-        Started and serving.
+        A fleet that serves requests.
     """
 
     def __init__(self, fleet: Fleet) -> None:
@@ -104,12 +105,12 @@
             addresses,
             [("GET", "/s/k{n}"), ("POST", "/s/k{n}"), ("GET", "/s/m{n}")],
             _RATE,
-            _NAMES,
+            _KEY_COUNT,
         )
         self.note = ""
         self.broken: list[str] = []
 
-    def keeper(self) -> Daemon:
+    def find_keeper(self) -> Daemon:
         """Return the keeper of the first upstream."""
         return self.fleet.find_keeper("u-01")
 
@@ -121,160 +122,160 @@
         return time.monotonic()
 
     def kill_upstream(self, name: str) -> None:
-        """End the process of an upstream."""
+        """Kill the process of an upstream."""
         self.fleet.upstreams[name].kill()
 
     def start_upstream(self, name: str) -> None:
-        """Start an upstream's process again."""
+        """Restart the process of an upstream."""
         self.fleet.start_upstream(*self.fleet.find_service(name))
 
 
-def _kill_keeper(stage: Stage) -> None:
-    keeper = stage.keeper()
+def _kill_keeper(loaded: LoadedFleet) -> None:
+    keeper = loaded.find_keeper()
     keeper.process.kill()
-    gevent.sleep(_PAUSE)
-    stage.fleet.restart(keeper)
+    gevent.sleep(_FAULT_TIME)
+    loaded.fleet.restart(keeper)
 
 
-def _pause_keeper(stage: Stage) -> None:
-    keeper = stage.keeper()
+def _pause_keeper(loaded: LoadedFleet) -> None:
+    keeper = loaded.find_keeper()
     keeper.process.pause()
-    gevent.sleep(_PAUSE)
+    gevent.sleep(_FAULT_TIME)
     keeper.process.resume()
 
 
-def _stop_keeper(stage: Stage) -> None:
-    keeper = stage.keeper()
+def _stop_keeper(loaded: LoadedFleet) -> None:
+    keeper = loaded.find_keeper()
     keeper.process.terminate()
     if keeper.process.join() != 0:
-        stage.broken.append("exit code of the stopped keeper")
-    stage.fleet.restart(keeper)
+        loaded.broken.append("exit code of the stopped keeper")
+    loaded.fleet.restart(keeper)
 
 
-def _kill_entry(stage: Stage) -> None:
-    entry = next(iter(stage.fleet.entries.values()))
+def _kill_entry(loaded: LoadedFleet) -> None:
+    entry = next(iter(loaded.fleet.entries.values()))
     entry.process.kill()
-    gevent.sleep(_PAUSE)
-    stage.fleet.restart(entry)
+    gevent.sleep(_FAULT_TIME)
+    loaded.fleet.restart(entry)
 
 
-def _stop_entry(stage: Stage) -> None:
-    entry = next(iter(stage.fleet.entries.values()))
+def _stop_entry(loaded: LoadedFleet) -> None:
+    entry = next(iter(loaded.fleet.entries.values()))
     entry.process.terminate()
     wait_for(lambda: not entry.is_ready(), 10, "unready")
-    stage.load.addresses.remove(entry.settings["listen"])
+    loaded.load.addresses.remove(entry.settings["listen"])
     entry.process.join()
-    stage.fleet.restart(entry)
+    loaded.fleet.restart(entry)
 
 
-def _kill_role(role: str) -> Callable[[Stage], None]:
-    def kill(stage: Stage) -> None:
-        keeper = stage.fleet.find_role(role)
+def _kill_role(role: str) -> Callable[[LoadedFleet], None]:
+    def kill(loaded: LoadedFleet) -> None:
+        keeper = loaded.fleet.find_role(role)
         keeper.process.kill()
-        gevent.sleep(_PAUSE)
-        stage.fleet.restart(keeper)
+        gevent.sleep(_FAULT_TIME)
+        loaded.fleet.restart(keeper)
 
     return kill
 
 
-def _lose_upstream(stage: Stage) -> None:
-    """Lose the upstream that owns the most shards at the time."""
-    owners = [owner for owner, _ in stage.fleet.list_grants().values()]
+def _lose_upstream(loaded: LoadedFleet) -> None:
+    """Kill and restart the upstream that currently owns most shards."""
+    owners = [owner for owner, _ in loaded.fleet.list_grants().values()]
     name = max(sorted(set(owners)), key=owners.count)
-    stage.kill_upstream(name)
-    gevent.sleep(_PAUSE)
-    stage.start_upstream(name)
+    loaded.kill_upstream(name)
+    gevent.sleep(_FAULT_TIME)
+    loaded.start_upstream(name)
 
 
-def _restart_upstream(stage: Stage) -> None:
-    stage.kill_upstream("u-01")
-    stage.start_upstream("u-01")
-    gevent.sleep(_PAUSE)
+def _restart_upstream(loaded: LoadedFleet) -> None:
+    loaded.kill_upstream("u-01")
+    loaded.start_upstream("u-01")
+    gevent.sleep(_FAULT_TIME)
 
 
-def _freeze_upstream(stage: Stage) -> None:
-    process = stage.fleet.upstreams["u-01"]
+def _freeze_upstream(loaded: LoadedFleet) -> None:
+    process = loaded.fleet.upstreams["u-01"]
     process.pause()
-    gevent.sleep(_PAUSE)
+    gevent.sleep(_FAULT_TIME)
     process.resume()
 
 
-def _silence_connections(stage: Stage) -> None:
-    """Let all open connections of an upstream stay silent for good."""
-    stage.fleet.set_upstream_fault("u-01", silence=True)
-    gevent.sleep(_PAUSE)
+def _silence_connections(loaded: LoadedFleet) -> None:
+    """Leave all open connections of an upstream without further answers."""
+    loaded.fleet.set_upstream_fault("u-01", silence=True)
+    gevent.sleep(_FAULT_TIME)
 
 
-def _cut_answers(stage: Stage) -> None:
-    stage.fleet.set_upstream_fault("u-01", cut_answers=True)
-    gevent.sleep(_PAUSE)
-    stage.fleet.set_upstream_fault("u-01", cut_answers=False)
+def _cut_answers(loaded: LoadedFleet) -> None:
+    loaded.fleet.set_upstream_fault("u-01", cut_answers=True)
+    gevent.sleep(_FAULT_TIME)
+    loaded.fleet.set_upstream_fault("u-01", cut_answers=False)
 
 
-def _drop_answers(stage: Stage) -> None:
-    stage.fleet.set_upstream_fault("u-01", drop_answers=True)
+def _drop_answers(loaded: LoadedFleet) -> None:
+    loaded.fleet.set_upstream_fault("u-01", drop_answers=True)
     gevent.sleep(1.0)
-    stage.fleet.set_upstream_fault("u-01", drop_answers=False)
+    loaded.fleet.set_upstream_fault("u-01", drop_answers=False)
 
 
-def _store(fault: str, delay: float = 0.0) -> Callable[[Stage], None]:
-    def strike(stage: Stage) -> None:
-        stage.fleet.set_store_fault(fault, delay)
-        gevent.sleep(2 * _PAUSE)
-        stage.fleet.set_store_fault("none")
+def _store(fault: str, delay: float = 0.0) -> Callable[[LoadedFleet], None]:
+    def inject_fault(loaded: LoadedFleet) -> None:
+        loaded.fleet.set_store_fault(fault, delay)
+        gevent.sleep(2 * _FAULT_TIME)
+        loaded.fleet.set_store_fault("none")
 
-    return strike
+    return inject_fault
 
 
-def _store_and_keeper(stage: Stage) -> None:
-    stage.fleet.set_store_fault("down")
+def _store_and_keeper(loaded: LoadedFleet) -> None:
+    loaded.fleet.set_store_fault("down")
     gevent.sleep(1.0)
-    keeper = stage.keeper()
+    keeper = loaded.find_keeper()
     keeper.process.kill()
-    gevent.sleep(_PAUSE)
-    stage.fleet.set_store_fault("none")
-    stage.fleet.restart(keeper)
+    gevent.sleep(_FAULT_TIME)
+    loaded.fleet.set_store_fault("none")
+    loaded.fleet.restart(keeper)
 
 
-def _drain(stage: Stage) -> None:
-    accepted = stage.drain("u-01", UpstreamState.DRAINING)
-    gevent.sleep(_LEAVES_WITHIN + 1.0)
+def _drain(loaded: LoadedFleet) -> None:
+    accepted = loaded.drain("u-01", UpstreamState.DRAINING)
+    gevent.sleep(_DRAINED_WITHIN + 1.0)
     late = [
         each
-        for each in stage.fleet.read_journals()
+        for each in loaded.fleet.read_journals()
         if each["upstream"] == "u-01"
-        and each["began"] > accepted + _LEAVES_WITHIN
+        and each["began"] > accepted + _DRAINED_WITHIN
     ]
     if late:
-        stage.broken.append(f"{len(late)} requests to a leaving upstream")
-    stage.drain("u-01", UpstreamState.ACTIVE)
+        loaded.broken.append(f"{len(late)} requests to a draining upstream")
+    loaded.drain("u-01", UpstreamState.ACTIVE)
 
 
 def _drain_with(
-    strike: Callable[[Stage], None],
-) -> Callable[[Stage], None]:
-    def run(stage: Stage) -> None:
-        stage.drain("u-01", UpstreamState.DRAINING)
-        strike(stage)
-        stage.drain("u-01", UpstreamState.ACTIVE)
+    inject_fault: Callable[[LoadedFleet], None],
+) -> Callable[[LoadedFleet], None]:
+    def run(loaded: LoadedFleet) -> None:
+        loaded.drain("u-01", UpstreamState.DRAINING)
+        inject_fault(loaded)
+        loaded.drain("u-01", UpstreamState.ACTIVE)
 
     return run
 
 
-def _lose_replies(stage: Stage) -> None:
-    """Lose the reply of every write while a move is under way."""
-    stage.drain("u-01", UpstreamState.DRAINING)
-    stage.fleet.set_store_fault("lost-reply")
-    gevent.sleep(_PAUSE)
-    stage.fleet.set_store_fault("none")
+def _drop_store_replies(loaded: LoadedFleet) -> None:
+    """Drop the reply to every write during a move."""
+    loaded.drain("u-01", UpstreamState.DRAINING)
+    loaded.fleet.set_store_fault("lost-reply")
+    gevent.sleep(_FAULT_TIME)
+    loaded.fleet.set_store_fault("none")
 
 
-def _race_edits(stage: Stage) -> None:
-    """Have two operators edit the same revision."""
+def _race_edits(loaded: LoadedFleet) -> None:
+    """Have two operators edit the same revision concurrently."""
 
     def edit(name: str) -> bool:
         try:
-            stage.drain(name, UpstreamState.DRAINING)
+            loaded.drain(name, UpstreamState.DRAINING)
         except StoreConflict:
             return False
         return True
@@ -282,14 +283,14 @@
     tasks = [gevent.spawn(edit, name) for name in ("u-01", "u-02")]
     gevent.joinall(tasks)
     won = sum(bool(task.value) for task in tasks)
-    stage.note = f"{won} of 2 edits accepted"
+    loaded.note = f"{won} of 2 edits accepted"
     if won == 0:
-        stage.broken.append("both edits were refused")
-    gevent.sleep(_PAUSE)
+        loaded.broken.append("both edits were refused")
+    gevent.sleep(_FAULT_TIME)
 
 
-CELLS: list[tuple[str, str, Callable[[Stage], None]]] = [
-    ("none", "renewal", lambda stage: gevent.sleep(_PAUSE)),
+CELLS: list[tuple[str, str, Callable[[LoadedFleet], None]]] = [
+    ("none", "renewal", lambda loaded: gevent.sleep(_FAULT_TIME)),
     ("keeper killed", "renewal", _kill_keeper),
     ("keeper paused", "renewal", _pause_keeper),
     ("planned stop", "keeper under load", _stop_keeper),
@@ -310,46 +311,46 @@
     ("keeper paused", "drain", _drain_with(_pause_keeper)),
     ("assigner killed", "drain", _drain_with(_kill_role("assigner"))),
     ("upstream killed", "drain", _drain_with(_lose_upstream)),
-    ("reply lost", "drain", _lose_replies),
+    ("reply lost", "drain", _drop_store_replies),
     ("racing edits", "text accepted", _race_edits),
 ]
 
 
 def run_process_cell(
-    fault: str, step: str, strike: Callable[[Stage], None]
+    fault: str, step: str, inject_fault: Callable[[LoadedFleet], None]
 ) -> ProcessCell:
     """Run one cell with a fresh fleet."""
     with make_fleet() as fleet:
         fleet.start(keepers=3, entries=2)
-        stage = Stage(fleet)
-        stage.load.start()
-        gevent.sleep(_WARM)
-        struck_at = time.monotonic()
-        strike(stage)
-        gevent.sleep(_AFTER)
-        told = stage.load.stop()
-        broken = stage.broken + check_promises(fleet, told)
+        loaded = LoadedFleet(fleet)
+        loaded.load.start()
+        gevent.sleep(_WARMUP_TIME)
+        injected_at = time.monotonic()
+        inject_fault(loaded)
+        gevent.sleep(_RECOVERY_TIME)
+        call_results = loaded.load.stop()
+        broken = loaded.broken + find_violations(fleet, call_results)
         outcomes: dict[str, int] = {}
-        for each in told:
+        for each in call_results:
             name = f"{each.outcome} {each.reason}".strip()
             outcomes[name] = outcomes.get(name, 0) + 1
         if step.endswith("under load") and set(outcomes) != {"answered"}:
-            broken.append("a planned stop cut requests")
+            broken.append("requests failed during a planned stop")
         return ProcessCell(
             fault,
             step,
             broken,
-            measure_unavailable(told, struck_at),
+            measure_unavailable(call_results, injected_at),
             outcomes,
-            stage.note,
+            loaded.note,
         )
 
 
-def check_promises(fleet: Fleet, told: list[Told]) -> list[str]:
-    """Return the promises that the journals show to be broken."""
+def find_violations(fleet: Fleet, call_results: list[CallResult]) -> list[str]:
+    """Return violations of the guarantees that the journals show."""
     journal = fleet.read_journals()
-    refused = [e.operation for e in told if e.outcome == "not-run"]
-    answered = [e.operation for e in told if e.outcome == "answered"]
+    refused = [e.operation for e in call_results if e.outcome == "not-run"]
+    answered = [e.operation for e in call_results if e.outcome == "answered"]
     broken = [f"doubled {each}" for each in find_doubled(journal)]
     broken += find_two_owners(journal)
     broken += [
@@ -361,15 +362,15 @@
         for each in find_lost(journal, answered)
     ]
     broken += [
-        f"answer of another or cut: {each.path}"
-        for each in told
+        f"truncated or mismatched answer: {each.path}"
+        for each in call_results
         if each.outcome == "answered" and not each.whole
     ]
     return broken
 
 
 class Losses(msgspec.Struct, frozen=True):
-    """Unavailable times of repeated losses in seconds."""
+    """Times without service after repeated losses, in seconds."""
 
     what: str
     times: list[float]
@@ -386,27 +387,27 @@
 
 
 def measure_losses(
-    what: str, strike: Callable[[Stage], None], count: int
+    what: str, inject_fault: Callable[[LoadedFleet], None], count: int
 ) -> tuple[Losses, list[str]]:
-    """Lose the same kind of process again and again under load."""
+    """Repeat the loss of one kind of process under load."""
     times = []
     with make_fleet() as fleet:
         fleet.start(keepers=3, entries=2)
-        stage = Stage(fleet)
-        stage.load.start()
-        gevent.sleep(_WARM)
+        loaded = LoadedFleet(fleet)
+        loaded.load.start()
+        gevent.sleep(_WARMUP_TIME)
         for _ in range(count):
-            struck_at = time.monotonic()
-            strike(stage)
-            gevent.sleep(_AFTER)
-            seen = list(stage.load.told)
-            times.append(measure_unavailable(seen, struck_at))
-        told = stage.load.stop()
-        broken = stage.broken + check_promises(fleet, told)
+            injected_at = time.monotonic()
+            inject_fault(loaded)
+            gevent.sleep(_RECOVERY_TIME)
+            seen = list(loaded.load.call_results)
+            times.append(measure_unavailable(seen, injected_at))
+        call_results = loaded.load.stop()
+        broken = loaded.broken + find_violations(fleet, call_results)
     return Losses(what, times), broken
 
 
-LOSSES: list[tuple[str, Callable[[Stage], None]]] = [
+LOSSES: list[tuple[str, Callable[[LoadedFleet], None]]] = [
     ("keeper", _kill_keeper),
     ("entry", _kill_entry),
     ("upstream", _lose_upstream),
--- a/sedgetide/testing/serving.py
+++ b/sedgetide/testing/serving.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: a server, its command line, JSON answers."""
+"""Shared code of the simulated servers: serving, options, JSON answers."""
 
 import argparse
 from collections.abc import Callable
@@ -30,7 +30,7 @@
 
 
 def read_json(environ: dict[str, Any]) -> Any:
-    """Return the decoded body of a request; an empty object when none."""
+    """Return the decoded JSON body of a request; ``{}`` when it is empty."""
     body = environ["wsgi.input"].read()
     return msgspec.json.decode(body) if body else {}
 
@@ -55,14 +55,14 @@
 
 
 def add_listen_options(parser: argparse.ArgumentParser) -> None:
-    """Add the options that say where a stand-in listens."""
+    """Add the options for the listen address and port."""
     parser.add_argument("--address", default="127.0.0.1")
     parser.add_argument("--port", type=int, default=0)
 
 
 @contextlib.contextmanager
 def serve(application: Callable[..., Iterable[bytes]]) -> Iterator[str]:
-    """RequestHandler in this process for the length of a block.
+    """Serve an application in this process for the duration of a block.
 
     Yields
     ------
@@ -85,12 +85,12 @@
     port: int,
     connections: int = 10_000,
 ) -> int:
-    """RequestHandler until SIGTERM; print the address once listening.
+    """Serve until SIGTERM; print the address once listening.
 
     Parameters
     ----------
     connections : int
-        Connections served at a time; more wait to be accepted.
+        Maximum number of concurrent connections; more wait to be accepted.
     """
     listener = open_listener(address, port)
     server = WSGIServer(
@@ -111,7 +111,7 @@
 
 
 def run_server(server: Server, port: int) -> int:
-    """Run a server of the project's own kind until SIGTERM."""
+    """Run a :class:`Server` on a loopback port until SIGTERM."""
     server.start(open_listener("127.0.0.1", port))
     stopped = Event()
     gevent.signal_handler(signal.SIGTERM, stopped.set)
--- a/sedgetide/testing/slopes.py
+++ b/sedgetide/testing/slopes.py
@@ -1,4 +1,4 @@
-"""Slopes for docs/CAPACITY.md: how costs grow with size, at three sizes.
+"""Measure how costs grow with size, at several sizes, for docs/CAPACITY.md.
 
 Usage: ``python -m sedgetide.testing.slopes --output build/slopes.json``.
 """
@@ -36,21 +36,21 @@
 from sedgetide.testing.speed import make_text
 from sedgetide.testing.speed import run_callers
 
-_IDLE = 5.0
+_IDLE_TIME = 5.0
 _CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 
 
 class Slope(msgspec.Struct, frozen=True):
-    """A cost by size.
+    """Linear model of a cost as a function of size.
 
     Parameters
     ----------
     what, unit : str
-        What was measured.
+        Measured quantity and the unit of the slope.
     sizes, costs : list of float
-        The samples.
+        Samples.
     slope, base : float
-        Least-squares line through them.
+        Slope and intercept of the least-squares line.
     """
 
     what: str
@@ -64,7 +64,7 @@
 def fit(
     what: str, unit: str, sizes: Sequence[float], costs: Sequence[float]
 ) -> Slope:
-    """Fit a line through samples."""
+    """Fit a least-squares line to samples."""
     count = len(sizes)
     mean_size, mean_cost = sum(sizes) / count, sum(costs) / count
     spread = sum((size - mean_size) ** 2 for size in sizes)
@@ -100,7 +100,7 @@
 
 
 def make_assignment(shards: int) -> Assignment:
-    """Return an assignment of 12 members, 12 upstreams and some shards."""
+    """Return an assignment of shards with 12 members and 12 upstreams."""
     assignment = EMPTY_ASSIGNMENT
     for number in range(12):
         assignment = assignment.add_member(
@@ -117,7 +117,9 @@
     return assignment.assign_first(owners, ChangeId("c"))
 
 
-def _time(action: Callable[[], object], repeats: int = 5) -> float:
+def _measure_processor_time(
+    action: Callable[[], object], repeats: int = 5
+) -> float:
     best = float("inf")
     for _ in range(repeats):
         began = time.process_time()
@@ -127,7 +129,7 @@
 
 
 def measure_records() -> list[Slope]:
-    """Measure an assignment's size, memory and coding by shards."""
+    """Measure size, memory and decoding of an assignment per shard."""
     sizes = [1000, 4000, 16000]
     stored, memory, decoding, grants = [], [], [], []
     for size in sizes:
@@ -137,7 +139,11 @@
         decoded = decode_assignment(value)
         memory.append(tracemalloc.get_traced_memory()[0])
         tracemalloc.stop()
-        decoding.append(_time(lambda value=value: decode_assignment(value)))
+        decoding.append(
+            _measure_processor_time(
+                lambda value=value: decode_assignment(value)
+            )
+        )
         owned = decoded.list_owned(UpstreamName("upstream-0"))
         rows = [[k.service, k.shard, epoch] for k, epoch in owned.items()]
         grants.append(len(msgspec.json.encode(rows)) * 12)
@@ -150,7 +156,7 @@
 
 
 def measure_operations() -> list[Slope]:
-    """Measure the memory of remembered operation ids."""
+    """Measure the memory of an operation id in the log."""
     sizes, memory = [1000, 4000, 16000], []
     for size in sizes:
         tracemalloc.start()
@@ -166,7 +172,7 @@
 
 
 def measure_requests() -> list[Slope]:
-    """Measure processor time and memory by requests."""
+    """Measure processor time and memory per request."""
     sizes = [2000, 4000, 8000]
     entry_cpu, keeper_cpu, memory = [], [], []
     with Fleet(make_text(16), service_ms=0.0) as fleet:
@@ -199,7 +205,7 @@
             for each in [*daemons, entry]
         ]
         began = time.monotonic()
-        gevent.sleep(_IDLE)
+        gevent.sleep(_IDLE_TIME)
         took = time.monotonic() - began
         costs = []
         for each, (cpu, traffic) in zip(
@@ -228,7 +234,7 @@
 
 
 def measure_control() -> list[Slope]:
-    """Measure what control costs by keepers of a data centre."""
+    """Measure the cost of control per keeper of a data centre."""
     sizes = [2, 4, 8, 16]
     found = [_measure_idle(size) for size in sizes]
 
@@ -246,7 +252,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Measure all slopes, print and write them."""
+    """Measure all slopes, and print and write them."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--output", default="build/slopes.json")
     options = parser.parse_args(arguments)
--- a/sedgetide/testing/soak.py
+++ b/sedgetide/testing/soak.py
@@ -22,7 +22,7 @@
 from sedgetide.testing.soakcallers import Caller
 from sedgetide.testing.soakcallers import DEADLY_PATH
 from sedgetide.testing.soakcallers import DeadlyCaller
-from sedgetide.testing.soakevacuations import find_floods
+from sedgetide.testing.soakevacuations import find_flooded
 from sedgetide.testing.soakevacuations import find_late_runs
 from sedgetide.testing.soakevacuations import Operator
 from sedgetide.testing.soakfaults import Fault
@@ -44,7 +44,7 @@
 # of the following 4.5 s are checked.
 _RECOVERY_TIME_DEADLY = 16.5
 _FAILED_RUNS = "build/soak"
-_COPIES = 5
+_DEADLY_CALLERS = 5
 # Enough hosts in front of upstreams of one slot that some of them lend its
 # places to others.
 _CROWDED_HOSTS = 6
@@ -82,10 +82,10 @@
         self._fault_sampler = FaultSampler(
             self._fault_set, self._random, self.fleet, self._operator
         )
-        copied = self._fault_set is FaultSet.COPIES
+        with_copies = self._fault_set is FaultSet.COPIES
         self._deadly = [
-            DeadlyCaller(CALLERS + number, self.fleet, seed, copied)
-            for number in range(_COPIES if copied else 1)
+            DeadlyCaller(CALLERS + number, self.fleet, seed, with_copies)
+            for number in range(_DEADLY_CALLERS if with_copies else 1)
         ]
 
     def _make_fleet(self, folder: pathlib.Path, late_grants: float) -> Fleet:
@@ -180,7 +180,7 @@
         promises.check_owners(events)
         promises.check_recovery(asked, ended)
         promises.check_configuration(self._fault_sampler.extra_routes)
-        promises.problems += find_floods(events)
+        promises.problems += find_flooded(events)
         promises.problems += find_late_sends(events, self._fault_times)
         promises.problems += find_late_runs(
             self.fleet, self._operator.evacuations, events, self._fault_times
--- a/sedgetide/testing/soakevacuations.py
+++ b/sedgetide/testing/soakevacuations.py
@@ -91,7 +91,7 @@
     return problems
 
 
-def find_floods(events: list[Event]) -> list[str]:
+def find_flooded(events: list[Event]) -> list[str]:
     """Return violations: cold upstreams that were sent too many requests."""
     return [
         f"{event.upstream} was flooded while it was cold"
--- a/sedgetide/testing/speed.py
+++ b/sedgetide/testing/speed.py
@@ -1,7 +1,8 @@
-"""Speed of one path: direct, over an entry alone, over entry and keeper.
+"""Compare latency and throughput of requests along three paths.
 
-Usage: ``python -m sedgetide.testing.speed``. All figures are of one run and
-are meant to be compared with each other only.
+The paths are directly to an upstream, through an entry without keepers, and
+through entry and keeper. Usage: ``python -m sedgetide.testing.speed``. The
+figures of one run are comparable with each other only.
 """
 
 import argparse
@@ -18,7 +19,7 @@
 from sedgetide.testing.fleet import reserve_address
 from sedgetide.testing.fleet import wait_for
 
-_LIMIT = 1024 * 1024
+_MAX_ANSWER_BYTES = 1024 * 1024
 _TIMEOUT = 10.0
 _ROUNDS = 5
 
@@ -29,11 +30,11 @@
     Parameters
     ----------
     median, p99 : float
-        Seconds.
+        Latency in seconds.
     rate : float
-        Answered requests a second.
+        Requests with status 200 per second.
     refused : int
-        Requests that were not answered.
+        Number of requests with another status.
     """
 
     median: float
@@ -45,7 +46,7 @@
 def make_text(
     slots: int, shards: int = 16, checks_orders: bool = True
 ) -> dict:
-    """Return a text of one data centre with one keyed service."""
+    """Return a configuration of one data centre and one keyed service."""
     return {
         "name": "speed",
         "data_centres": ["one"],
@@ -88,11 +89,11 @@
 def run_callers(
     address: str, path: str, callers: int, requests: int
 ) -> Sample:
-    """Send requests from callers that each wait for their answer."""
+    """Send requests from callers that each wait for the answer."""
     times: list[float] = []
 
     def run(number: int) -> None:
-        connection = HttpConnection(address, _LIMIT)
+        connection = HttpConnection(address, _MAX_ANSWER_BYTES)
         connection.open(_TIMEOUT)
         for index in range(requests // callers):
             began = time.perf_counter()
@@ -121,7 +122,7 @@
 def measure(
     service_ms: float, slots: int, requests: int
 ) -> dict[str, list[Sample]]:
-    """Measure all paths in turn, several rounds."""
+    """Measure all paths in turn, in several rounds."""
     found: dict[str, list[Sample]] = {}
     with Fleet(make_text(slots), service_ms=service_ms) as fleet:
         fleet.start(keepers=1)
--- a/sedgetide/testing/store.py
+++ b/sedgetide/testing/store.py
@@ -1,7 +1,7 @@
-"""Stand-in for the platform's store, as a process.
+"""Simulated store process.
 
-Usage: ``python -m sedgetide.testing.store [--port N]``. Faults are switched
-by ``POST /fault {"fault": "down"}``; calls are counted at ``/calls``.
+Usage: ``python -m sedgetide.testing.store [--port N]``. Faults are injected
+by ``POST /fault {"fault": "down"}``; ``/calls`` returns the numbers of calls.
 """
 
 import argparse
@@ -25,7 +25,7 @@
 _FOREVER = 3600.0
 
 
-def _show(record: Record) -> dict[str, Any]:
+def _encode_record(record: Record) -> dict[str, Any]:
     return {
         "key": record.key,
         "revision": record.revision,
@@ -90,7 +90,7 @@
             return 404, {"revision": 0}
         if collection == "revisions":
             return 200, {"revision": record.revision}
-        return 200, _show(record)
+        return 200, _encode_record(record)
 
     def _swap(self, key: str, environ: dict[str, Any]) -> tuple[int, Any]:
         document = serving.read_json(environ)
@@ -124,12 +124,12 @@
             changes = self._model.list_changes(prefix, since)
         return 200, {
             "revision": self._model.revision,
-            "changes": [_show(record) for record in changes],
+            "changes": [_encode_record(record) for record in changes],
         }
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the stand-in until SIGTERM."""
+    """Run the simulated store until SIGTERM."""
     parser = argparse.ArgumentParser(description=__doc__)
     serving.add_listen_options(parser)
     options = parser.parse_args(arguments)
--- a/sedgetide/testing/upstream.py
+++ b/sedgetide/testing/upstream.py
@@ -1,8 +1,8 @@
-"""Stand-in for an upstream, as a process.
+"""Simulated upstream process.
 
 Usage: ``python -m sedgetide.testing.upstream --name mf-01 [--port N]``.
-Faults are switched by ``POST /fault``; the journal of all operations it
-really ran is at ``/journal``.
+Faults are injected by ``POST /fault``; the journal of all operations that it
+ran is at ``/journal``.
 """
 
 import argparse
@@ -28,30 +28,30 @@
 from sedgetide.testing.upstreammodel import UpstreamModel
 
 _FOREVER = 3600.0
-_KEPT_LOADS = 1000
+_MAX_LOADS = 1000
 
 
 class Behaviour(msgspec.Struct, forbid_unknown_fields=True):
-    """How the stand-in behaves; each field can be changed by a fault.
+    """Behaviour of a simulated upstream; a fault can change each field.
 
     Parameters
     ----------
     service_ms : float
-        Time a request takes.
+        Service time of a request.
     cold_ms, cold_until : float
-        Extra time while cold, and the clock time it ends.
+        Additional time while cold, and the clock time at which it ends.
     answer_bytes : int
-        Size of an answer's filling.
+        Size of the padding in an answer.
     cut_answers : bool
-        End answers half way.
+        Whether to close the connection half way through an answer.
     silent_before : float
-        Connections opened before this clock time stay silent for good.
+        Connections opened before this clock time get no further answers.
     drop_answers : bool
-        Run requests but never answer.
+        Whether to run requests without answering them.
     load : float or None
-        Load to report in place of the true one.
+        Load to report instead of the actual one.
     load_lag : float
-        Age in seconds of the load that is reported.
+        Age in seconds of the reported load.
     """
 
     service_ms: float = 2.0
@@ -98,7 +98,7 @@
         self._slots = BoundedSemaphore(model.slots)
         self._journal_file = journal_file
         self._loads: collections.deque[tuple[float, int]] = collections.deque(
-            maxlen=_KEPT_LOADS
+            maxlen=_MAX_LOADS
         )
 
     def __call__(
@@ -116,12 +116,12 @@
             return serving.answer(start_response, 200, {})
         if path == "/journal":
             return serving.answer(start_response, 200, self._model.journal)
-        self._stay_silent(environ)
+        self._block_silenced(environ)
         if path.startswith(protocol.CONTROL_PREFIX):
             return self._control(environ, start_response)
         return self._work(environ, start_response)
 
-    def _stay_silent(self, environ: dict[str, Any]) -> None:
+    def _block_silenced(self, environ: dict[str, Any]) -> None:
         port = environ["REMOTE_PORT"]
         opened = self._opened.setdefault(port, time.monotonic())
         if opened < self._behaviour.silent_before:
@@ -164,7 +164,7 @@
         )
 
     def _report_load(self, now: float) -> float:
-        """Return the load, late or misleading as ordered."""
+        """Return the load to report, which may be old or wrong."""
         self._loads.append((now, self._model.running))
         if self._behaviour.load is not None:
             return self._behaviour.load
@@ -178,23 +178,23 @@
         start_response: serving.StartResponse,
     ) -> Iterable[bytes]:
         number = _find_header(environ, protocol.HEADER_REQUEST_ID)
-        own = [(protocol.HEADER_REQUEST_ID, number)]
+        own_headers = [(protocol.HEADER_REQUEST_ID, number)]
         body = environ["wsgi.input"].read()
-        declined = self._judge(environ)
+        declined = self._find_refusal(environ)
         if declined:
-            own.append((protocol.HEADER_DECLINED, declined))
+            own_headers.append((protocol.HEADER_DECLINED, declined))
             status = 503 if declined == "shed" else 409
             return serving.answer(
-                start_response, status, {"declined": declined}, own
+                start_response, status, {"declined": declined}, own_headers
             )
         self._model.running += 1
         try:
             with self._slots:
-                return self._run(environ, start_response, own, body)
+                return self._run(environ, start_response, own_headers, body)
         finally:
             self._model.running -= 1
 
-    def _judge(self, environ: dict[str, Any]) -> str:
+    def _find_refusal(self, environ: dict[str, Any]) -> str:
         stamp = _find_header(environ, protocol.HEADER_STAMP) or "0"
         life = _find_header(environ, protocol.HEADER_LIFE) or "1e12"
         return self._model.judge(
@@ -209,18 +209,18 @@
         self,
         environ: dict[str, Any],
         start_response: serving.StartResponse,
-        own: list[tuple[str, str]],
+        own_headers: list[tuple[str, str]],
         body: bytes,
     ) -> Iterable[bytes]:
-        number = own[0][1]
-        # The slot may have come late; what was right then may be stale.
-        declined = self._judge(environ)
+        number = own_headers[0][1]
+        # Check again: the grant may have ended while waiting for the slot.
+        declined = self._find_refusal(environ)
         if not declined and not self._model.start(number):
             declined = "cancelled"
         if declined:
-            own.append((protocol.HEADER_DECLINED, declined))
+            own_headers.append((protocol.HEADER_DECLINED, declined))
             return serving.answer(
-                start_response, 409, {"declined": declined}, own
+                start_response, 409, {"declined": declined}, own_headers
             )
         entry = JournalEntry(
             self._model.name,
@@ -233,15 +233,15 @@
             number,
         )
         self._model.begin(entry)
-        self._keep(entry)
+        self._append_to_journal(entry)
         gevent.sleep(self._find_duration())
         entry.ended = time.monotonic()
         if self._behaviour.drop_answers:
             gevent.sleep(_FOREVER)
-        return self._answer(entry, start_response, own, body)
+        return self._answer(entry, start_response, own_headers, body)
 
-    def _keep(self, entry: JournalEntry) -> None:
-        """Write an entry where it outlives the process."""
+    def _append_to_journal(self, entry: JournalEntry) -> None:
+        """Append an entry to the journal file, which outlives the process."""
         if self._journal_file is not None:
             with self._journal_file.open("ab") as stream:
                 stream.write(msgspec.json.encode(entry) + b"\n")
@@ -255,7 +255,7 @@
         self,
         entry: JournalEntry,
         start_response: serving.StartResponse,
-        own: list[tuple[str, str]],
+        own_headers: list[tuple[str, str]],
         body: bytes,
     ) -> Iterable[bytes]:
         document = {
@@ -266,19 +266,21 @@
             "filling": "x" * self._behaviour.answer_bytes,
         }
         if not self._behaviour.cut_answers:
-            return serving.answer(start_response, 200, document, own)
+            return serving.answer(start_response, 200, document, own_headers)
         whole = msgspec.json.encode(document)
-        start_response("200 OK", [("Content-Length", str(len(whole))), *own])
-        return _cut(whole)
+        start_response(
+            "200 OK", [("Content-Length", str(len(whole))), *own_headers]
+        )
+        return _send_half(whole)
 
 
-def _cut(whole: bytes) -> Iterable[bytes]:
+def _send_half(whole: bytes) -> Iterable[bytes]:
     yield whole[: len(whole) // 2]
-    raise ConnectionAbortedError("cut as ordered")
+    raise ConnectionAbortedError("answer truncated by an injected fault")
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the stand-in until SIGTERM."""
+    """Run the simulated upstream until SIGTERM."""
     parser = argparse.ArgumentParser(description=__doc__)
     serving.add_listen_options(parser)
     parser.add_argument("--name", required=True)
