--- a/sedgetide/coding/messages.py
+++ b/sedgetide/coding/messages.py
@@ -147,7 +147,7 @@
     ----------
     number : RequestId
         Unique id that the response repeats.
-    addressee : str
+    receiver_incarnation : str
         Incarnation of the keeper that the request is meant for. A buffer
         may deliver it to a later process at the same address, whose clock
         ``expires`` does not refer to.
@@ -166,7 +166,7 @@
     """
 
     number: RequestId
-    addressee: str
+    receiver_incarnation: str
     service: ServiceName
     upstream: UpstreamName
     shard: ShardKey | None
@@ -405,7 +405,7 @@
         Seconds until the caller gets a final response at the latest.
     service : ServiceName
         Service that the request is sent to.
-    grave : bool
+    strong_suspect : bool
         Whether, according to the sender, one more loss of an upstream may
         quarantine the request.
     """
@@ -414,7 +414,7 @@
     fingerprint: Fingerprint
     left: float
     service: ServiceName
-    grave: bool = False
+    strong_suspect: bool = False
 
 
 class TrialVerdict(Message, tag="trial"):
--- a/sedgetide/core/membership/datacentre.py
+++ b/sedgetide/core/membership/datacentre.py
@@ -153,7 +153,7 @@
         self.text = text
         self._follow_releases()
 
-    def take_assignment(
+    def apply_assignment(
         self, assignment: Assignment, revision: Revision
     ) -> None:
         """Apply an assignment; an older one is ignored."""
@@ -347,7 +347,7 @@
         for report in self._list_reports(now):
             lost.update(report.lost)
             self._record_confirmations(report)
-        eligible, active = self._list_takers(text, now)
+        eligible, active = self._list_eligible(text, now)
         owners = {each.upstream for each in self.assignment.shards.values()}
         return PlanningInput(
             wanted=self._list_required_shards(text),
@@ -385,7 +385,7 @@
             if service.keyed
         }
 
-    def _list_takers(
+    def _list_eligible(
         self, text: Text, now: float
     ) -> tuple[dict[ServiceName, list[UpstreamName]], set[UpstreamName]]:
         """Return upstreams that may get shards, and all that may keep theirs.
--- a/sedgetide/core/membership/directory.py
+++ b/sedgetide/core/membership/directory.py
@@ -13,7 +13,7 @@
 from sedgetide.core.identifiers import UpstreamName
 from sedgetide.core.membership.evacuations import Evacuations
 from sedgetide.core.membership.incarnations import name_incarnation
-from sedgetide.core.membership.incarnations import UNKNOWN_BIRTH
+from sedgetide.core.membership.incarnations import UNKNOWN_START_TIME
 
 # Seconds. Live upstreams renew their entries within this time after an outage
 # of the registry.
@@ -58,7 +58,7 @@
     slots: int = 1
     leaving: bool = False
     warmup: float = 0.0
-    born: StartTime = UNKNOWN_BIRTH
+    born: StartTime = UNKNOWN_START_TIME
 
     @property
     def name(self) -> IncarnationName:
@@ -148,8 +148,8 @@
             leaving until its entry must have expired, unless it changes
             its entry.
         """
-        known = self._born.get(entry.registered_name, UNKNOWN_BIRTH)
-        if entry.born == UNKNOWN_BIRTH != known:
+        known = self._born.get(entry.registered_name, UNKNOWN_START_TIME)
+        if entry.born == UNKNOWN_START_TIME != known:
             self.mark_unreadable(entry.registered_name, now)
             return
         if entry.born < known:
--- a/sedgetide/core/membership/incarnations.py
+++ b/sedgetide/core/membership/incarnations.py
@@ -12,7 +12,7 @@
 
 # Used with registries that do not report start times because each incarnation
 # registers under a name of its own.
-UNKNOWN_BIRTH = StartTime(0)
+UNKNOWN_START_TIME = StartTime(0)
 _SEPARATOR = "@"
 
 
@@ -30,6 +30,6 @@
         with other start times of the same upstream, never with a clock,
         because the wall clocks of some hosts jump.
     """
-    if born == UNKNOWN_BIRTH:
+    if born == UNKNOWN_START_TIME:
         return IncarnationName(upstream)
     return IncarnationName(f"{upstream}{_SEPARATOR}{born}")
--- a/sedgetide/core/ownership/leadership.py
+++ b/sedgetide/core/ownership/leadership.py
@@ -236,6 +236,6 @@
         due = _FRESH_VERIFY_INTERVALS * self._durations.verify
         return self._term != NO_POSITION and now - self._proved_at < due
 
-    def bound_inherited(self) -> float:
+    def find_inherited_hold_end(self) -> float:
         """Return the time until which earlier leaders' grants may be held."""
         return self._term_began_at + self._durations.max_inherited_hold()
--- a/sedgetide/core/ownership/leasing.py
+++ b/sedgetide/core/ownership/leasing.py
@@ -323,7 +323,7 @@
 
     # Reports
 
-    def has_news(self) -> bool:
+    def needs_report(self) -> bool:
         """Return whether there is anything to report to the assigner."""
         lost = self.health is Health.LOST
         return lost or bool(self.list_lost() or self.list_released())
--- a/sedgetide/core/ownership/load.py
+++ b/sedgetide/core/ownership/load.py
@@ -244,7 +244,7 @@
             for _ in range(min(each.failures, 4)):
                 known.note_failure()
 
-    def list_views(
+    def list_estimates(
         self, service: ServiceName, now: float
     ) -> list[LoadEstimate]:
         """Return an estimate per time constant, the shortest one first."""
--- a/sedgetide/core/ownership/terms.py
+++ b/sedgetide/core/ownership/terms.py
@@ -52,7 +52,7 @@
         self._leadership = leadership
         self._position = leadership.term
         self._durations = durations
-        self.inherited_until = leadership.bound_inherited()
+        self.inherited_until = leadership.find_inherited_hold_end()
         self._holds = HoldLedger(self.inherited_until)
 
     @property
--- a/sedgetide/core/requests/health.py
+++ b/sedgetide/core/requests/health.py
@@ -1,7 +1,7 @@
 """Passive health checking of an upstream by the requests of one host."""
 
 # Service time in seconds assumed before the first answer.
-FIRST_GUESS = 0.2
+DEFAULT_SERVICE_TIME = 0.2
 # Smoothing factor of the service time. Half of the weight is on the last three
 # answers, so a slowdown is detected within three answers, while a single slow
 # answer moves the estimate by only a fifth.
@@ -15,7 +15,7 @@
 _SUSPECT_SECONDS = 2.0
 
 # A connection that cannot be opened is never the fault of a request.
-UNREACHED_WEIGHT = 2.0
+UNREACHABLE_WEIGHT = 2.0
 
 
 class UpstreamHealth:
@@ -35,7 +35,7 @@
 
     def estimate_seconds(self) -> float:
         """Return the expected service time of a request in seconds."""
-        return self.service_time or FIRST_GUESS
+        return self.service_time or DEFAULT_SERVICE_TIME
 
     def note_success(self, seconds: float) -> None:
         """Record an answer and its service time."""
--- a/sedgetide/core/requests/places.py
+++ b/sedgetide/core/requests/places.py
@@ -23,7 +23,7 @@
 from sedgetide.core.identifiers import IncarnationName
 from sedgetide.core.identifiers import LinkAddress
 from sedgetide.core.requests.coldstart import RecentSends
-from sedgetide.core.requests.health import FIRST_GUESS
+from sedgetide.core.requests.health import DEFAULT_SERVICE_TIME
 from sedgetide.core.requests.queues import UpstreamQueue
 from sedgetide.core.requests.ratelimits import StatedLimit
 from sedgetide.core.requests.ratelimits import TokenBucket
@@ -122,7 +122,7 @@
         self._cold_bound: int | None = None
         self._bucket = TokenBucket()
         self._queue: UpstreamQueue[Ticket] = UpstreamQueue(
-            slots + _EXTRA_PLACES, _MAX_WAITING, FIRST_GUESS
+            slots + _EXTRA_PLACES, _MAX_WAITING, DEFAULT_SERVICE_TIME
         )
         self._waiting: dict[Ticket, Ticket] = {}
         self._lent: dict[Ticket, float] = {}
--- a/sedgetide/core/requests/quarantine.py
+++ b/sedgetide/core/requests/quarantine.py
@@ -504,7 +504,7 @@
         )
         return QuarantineRecord(stays, losses)
 
-    def take_record(self, record: QuarantineRecord, now: float) -> None:
+    def merge_record(self, record: QuarantineRecord, now: float) -> None:
         """Merge the record of the store, after a start or from a leader.
 
         Hosts have no common clock, so the remaining time of a stay counts
--- a/sedgetide/daemons/_control.py
+++ b/sedgetide/daemons/_control.py
@@ -254,7 +254,7 @@
 
     def _apply_assignment(self, record: Record) -> None:
         assignment = decode_assignment(record.value)
-        self._view.take_assignment(assignment, record.revision)
+        self._view.apply_assignment(assignment, record.revision)
         if assignment.list_releasing():
             # The wait for the old owner begins when a majority has confirmed
             # the new assignment; an immediate ping saves up to a heartbeat.
@@ -324,7 +324,7 @@
         if member is None:
             return
         for task in self._tasks.values():
-            if not task.lease.has_news():
+            if not task.lease.needs_report():
                 continue
             report = task.lease.make_report()
             if assigner == self._view.host:
@@ -406,7 +406,7 @@
             self._transport.send(sender, response)
 
         task = self._tasks.get(request.upstream)
-        misdirected = request.addressee != self._incarnation
+        misdirected = request.receiver_incarnation != self._incarnation
         if task is None or misdirected or self._view.leaving:
             reply(
                 Response(
--- a/sedgetide/daemons/_deployment.py
+++ b/sedgetide/daemons/_deployment.py
@@ -100,7 +100,7 @@
         Decodes items that upstreams and operators write.
     evacuations : Evacuations or None
         Evacuated data centres; none are known yet if None.
-    cold_terms : ColdTolerance or None
+    cold_tolerance : ColdTolerance or None
         Allowed excess over the rate of cold upstreams; none if None.
     """
 
@@ -108,10 +108,10 @@
         self,
         registry: RegistryDialect,
         evacuations: Evacuations | None = None,
-        cold_terms: ColdTolerance | None = None,
+        cold_tolerance: ColdTolerance | None = None,
     ) -> None:
         self.directory = UpstreamDirectory(evacuations=evacuations)
-        self._cold_tolerance = cold_terms or ColdTolerance()
+        self._cold_tolerance = cold_tolerance or ColdTolerance()
         self.policy: Policy | None = None
         self.routes: RouteTable | None = None
         self.tables: dict[ServiceName, KnownTable] = {}
@@ -327,7 +327,7 @@
             record = msgspec.json.decode(value, type=QuarantineRecord)
         if current:
             self.recorded_quarantine = KnownQuarantine(record, position)
-        self.quarantine.take_record(record, now)
+        self.quarantine.merge_record(record, now)
 
     def update_table(
         self,
@@ -434,7 +434,7 @@
         cold = self.directory.is_cold(upstream, rule.cold, now)
         return rule.cold_rate if cold else None
 
-    def find_cold_bound(
+    def find_cold_send_limit(
         self, upstream: RegisteredUpstream, now: float
     ) -> int | None:
         """Return how many sends to a cold upstream its lender allows.
--- a/sedgetide/daemons/_leader.py
+++ b/sedgetide/daemons/_leader.py
@@ -42,7 +42,7 @@
 from sedgetide.core.ownership.ranges import Tenure
 from sedgetide.core.ownership.smoothing import smooth_rates
 from sedgetide.core.ownership.terms import Term
-from sedgetide.core.requests.health import FIRST_GUESS
+from sedgetide.core.requests.health import DEFAULT_SERVICE_TIME
 from sedgetide.daemons._deployment import DeploymentState
 from sedgetide.daemons._election import Election
 from sedgetide.daemons._evacuationcoordinator import EvacuationCoordinator
@@ -474,7 +474,7 @@
         if balance or lost or leaving:
             # Computed only when needed: there are ten thousand keys after a
             # few seconds, and this runs ten times a second.
-            estimates = self._load_tracker.list_views(service, now)
+            estimates = self._load_tracker.list_estimates(service, now)
             rates = smooth_rates(estimates, table.tenures)
         moves = plan_evictions(table, eligible, rates, evacuated)
         moves += plan_evacuation(table, eligible, rates, evacuated, leaving)
@@ -521,7 +521,8 @@
         if rate is None:
             return upstream.slots
         work = (
-            self._load_tracker.find_mean_work(upstream.service) or FIRST_GUESS
+            self._load_tracker.find_mean_work(upstream.service)
+            or DEFAULT_SERVICE_TIME
         )
         return min(upstream.slots, max(_MIN_CAPACITY, rate * work))
 
--- a/sedgetide/daemons/_places.py
+++ b/sedgetide/daemons/_places.py
@@ -202,11 +202,11 @@
         self, link: LinkAddress, message: AskPlace | EndPlace
     ) -> None:
         if link == self._link:
-            self.take(message, link)
+            self.handle_message(message, link)
         else:
             self._send(link, message)
 
-    def take(
+    def handle_message(
         self, message: AskPlace | EndPlace | PlaceVerdict, sender: LinkAddress
     ) -> None:
         """Handle a message about a place."""
@@ -247,7 +247,7 @@
         entry = self._deployment.directory.find(message.upstream)
         own = None
         if entry is not None:
-            own = self._deployment.find_cold_bound(entry, now)
+            own = self._deployment.find_cold_send_limit(entry, now)
         bounds = [
             each for each in (own, message.cold_bound) if each is not None
         ]
@@ -285,7 +285,7 @@
                 each.ticket.number, each.verdict, round(each.retry_after, 3)
             )
             if each.ticket.holder == self._link:
-                self.take(verdict, self._link)
+                self.handle_message(verdict, self._link)
             else:
                 self._send(each.ticket.holder, verdict)
         self._set_timer()
--- a/sedgetide/daemons/_quarantine.py
+++ b/sedgetide/daemons/_quarantine.py
@@ -135,7 +135,7 @@
         if version != self._quarantine.version:
             self._send_copy(sender, now)
 
-    def take(
+    def handle_message(
         self, message: Quarantined, sender: LinkAddress, now: float
     ) -> None:
         """Merge the copy of another host."""
--- a/sedgetide/daemons/_sender.py
+++ b/sedgetide/daemons/_sender.py
@@ -14,7 +14,7 @@
 from sedgetide.core.requests.attempts import Target
 from sedgetide.core.requests.attempts import UPSTREAM_FAULTS
 from sedgetide.core.requests.averages import AnswerAverages
-from sedgetide.core.requests.health import UNREACHED_WEIGHT
+from sedgetide.core.requests.health import UNREACHABLE_WEIGHT
 from sedgetide.core.requests.outcomes import combine_outcomes
 from sedgetide.core.requests.outcomes import Outcome
 from sedgetide.core.requests.ratelimits import StatedLimit
@@ -334,7 +334,7 @@
             self._partitions.note_unreached(target.upstream.data_centre)
         if failure is not Failure.NOT_OWNER:
             unreached = failure is Failure.UNREACHABLE
-            weight = UNREACHED_WEIGHT if unreached else 1.0
+            weight = UNREACHABLE_WEIGHT if unreached else 1.0
             channel.health.note_failure(read_clock(), weight)
         if failure in UPSTREAM_FAULTS:
             self._meter.note_failure(target.upstream.name)
--- a/sedgetide/daemons/_trials.py
+++ b/sedgetide/daemons/_trials.py
@@ -210,11 +210,11 @@
         self, link: LinkAddress, message: AskTrial | EndTrial
     ) -> None:
         if link == self._link:
-            self.take(message, link)
+            self.handle_message(message, link)
         else:
             self._send(link, message)
 
-    def take(
+    def handle_message(
         self, message: AskTrial | EndTrial | TrialVerdict, sender: LinkAddress
     ) -> None:
         """Handle a message about a trial."""
@@ -249,7 +249,7 @@
         """
         # Either host may know of a loss that the other has not heard of.
         strong = self._quarantine.is_strong_suspect(message.fingerprint)
-        return message.service if message.grave or strong else None
+        return message.service if message.strong_suspect or strong else None
 
     def run_periodic(self, now: float) -> None:
         """End the trials of lost hosts."""
@@ -264,6 +264,6 @@
                 each.alone,
             )
             if each.ticket.holder == self._link:
-                self.take(reply, self._link)
+                self.handle_message(reply, self._link)
             else:
                 self._send(each.ticket.holder, reply)
--- a/sedgetide/daemons/_upstreamselector.py
+++ b/sedgetide/daemons/_upstreamselector.py
@@ -147,7 +147,7 @@
         unless the upstream is cold or states a limit.
         """
         channel = self._channels.find(target.upstream)
-        cold_bound = self._deployment.find_cold_bound(
+        cold_bound = self._deployment.find_cold_send_limit(
             target.upstream, read_clock()
         )
         stated_limit = self._deployment.limits.find(target.upstream.name)
--- a/sedgetide/daemons/host.py
+++ b/sedgetide/daemons/host.py
@@ -332,11 +332,13 @@
         elif isinstance(message, Lenders):
             self._deployment.set_lenders(message.named)
         elif isinstance(message, Quarantined):
-            self._quarantine.take(message, LinkAddress(sender), read_clock())
+            self._quarantine.handle_message(
+                message, LinkAddress(sender), read_clock()
+            )
         elif isinstance(message, AskPlace | EndPlace | PlaceVerdict):
-            self._places.take(message, LinkAddress(sender))
+            self._places.handle_message(message, LinkAddress(sender))
         elif isinstance(message, AskTrial | EndTrial | TrialVerdict):
-            self._trials.take(message, LinkAddress(sender))
+            self._trials.handle_message(message, LinkAddress(sender))
 
     def _handle_report(self, report: LoadReport, link: LinkAddress) -> None:
         now = read_clock()
--- a/sedgetide/platform/_registry.py
+++ b/sedgetide/platform/_registry.py
@@ -28,7 +28,7 @@
 from sedgetide.core.identifiers import UpstreamName
 from sedgetide.core.identifiers import Version
 from sedgetide.core.membership.directory import RegisteredUpstream
-from sedgetide.core.membership.incarnations import UNKNOWN_BIRTH
+from sedgetide.core.membership.incarnations import UNKNOWN_START_TIME
 from sedgetide.platform import _names
 
 _DRAINING = "draining"
@@ -124,7 +124,7 @@
         entry.info.slots,
         entry.status.state == _DRAINING,
         entry.status.warmup_left_ms / 1000.0,
-        UNKNOWN_BIRTH if entry.born is None else StartTime(entry.born),
+        UNKNOWN_START_TIME if entry.born is None else StartTime(entry.born),
     )
 
 
--- a/sedgetide/testing/fleet.py
+++ b/sedgetide/testing/fleet.py
@@ -37,7 +37,7 @@
 # For tests that don't examine losses. With the default durations a machine
 # that stalls for half a second would cause a loss, and requests in progress
 # would get an uncertain outcome.
-PATIENT_OPTIONS = {
+LONG_TIMEOUT_OPTIONS = {
     "timing": {"silence": 3.0, "proof_life": 3.0, "grant_life": 4.0}
 }
 
--- a/sedgetide/testing/journals.py
+++ b/sedgetide/testing/journals.py
@@ -8,7 +8,7 @@
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD"})
 
 
-def find_doubled(journal: Iterable[dict[str, Any]]) -> list[str]:
+def find_repeated_runs(journal: Iterable[dict[str, Any]]) -> list[str]:
     """Return non-idempotent operations that ran more than once.
 
     Parameters
@@ -60,7 +60,7 @@
     return sorted(ran & set(refused))
 
 
-def find_lost(
+def find_unrecorded(
     journal: Iterable[dict[str, Any]], answered: Iterable[str]
 ) -> list[str]:
     """Return operations that were answered but never ran."""
--- a/sedgetide/testing/mutations.py
+++ b/sedgetide/testing/mutations.py
@@ -184,7 +184,7 @@
         "shards assigned to a draining upstream",
         DRAINING,
         DataCentreView,
-        "_list_takers",
+        "_list_eligible",
         _list_all_eligible,
         ("none",),
         "text accepted",
--- a/sedgetide/testing/processfaults.py
+++ b/sedgetide/testing/processfaults.py
@@ -22,10 +22,10 @@
 from sedgetide.testing.fleet import Daemon
 from sedgetide.testing.fleet import Fleet
 from sedgetide.testing.fleet import wait_for
-from sedgetide.testing.journals import find_doubled
 from sedgetide.testing.journals import find_false_refusals
-from sedgetide.testing.journals import find_lost
+from sedgetide.testing.journals import find_repeated_runs
 from sedgetide.testing.journals import find_two_owners
+from sedgetide.testing.journals import find_unrecorded
 from sedgetide.testing.speed import make_text
 
 _RATE = 120.0
@@ -351,7 +351,7 @@
     journal = fleet.read_journals()
     refused = [e.operation for e in call_results if e.outcome == "not-run"]
     answered = [e.operation for e in call_results if e.outcome == "answered"]
-    broken = [f"doubled {each}" for each in find_doubled(journal)]
+    broken = [f"doubled {each}" for each in find_repeated_runs(journal)]
     broken += find_two_owners(journal)
     broken += [
         f"false not-run of {each}"
@@ -359,7 +359,7 @@
     ]
     broken += [
         f"answered without a run: {each}"
-        for each in find_lost(journal, answered)
+        for each in find_unrecorded(journal, answered)
     ]
     broken += [
         f"truncated or mismatched answer: {each.path}"
--- a/sedgetide/testing/rangeupstream.py
+++ b/sedgetide/testing/rangeupstream.py
@@ -26,10 +26,10 @@
 from sedgetide.runtime.signals import ChangeSignal
 from sedgetide.testing.coldstart import ColdStart
 from sedgetide.testing.coldstart import Slowdown
+from sedgetide.testing.pushbackscript import BACKOFF
+from sedgetide.testing.pushbackscript import make_headers
+from sedgetide.testing.pushbackscript import Script
 from sedgetide.testing.rangeholder import RangeHolder
-from sedgetide.testing.remarks import BACKOFF
-from sedgetide.testing.remarks import make_headers
-from sedgetide.testing.remarks import Script
 from sedgetide.testing.serving import run_server
 from sedgetide.wire.client import ConnectionPool
 from sedgetide.wire.messages import Answer
--- a/sedgetide/testing/scenarios.py
+++ b/sedgetide/testing/scenarios.py
@@ -15,7 +15,7 @@
 from sedgetide.core.ownership.assignment import ShardKey
 from sedgetide.core.ownership.assignment import ShardState
 from sedgetide.core.requests.outcomes import Outcome
-from sedgetide.testing.journals import find_doubled
+from sedgetide.testing.journals import find_repeated_runs
 from sedgetide.testing.journals import find_two_owners
 from sedgetide.testing.storemodel import StoreFault
 from sedgetide.testing.world import FakeKeeper
@@ -328,7 +328,9 @@
             for model in [upstream.model, *upstream.past_models]
             for entry in model.journal
         ]
-        self.broken += [f"ran twice: {each}" for each in find_doubled(journal)]
+        self.broken += [
+            f"ran twice: {each}" for each in find_repeated_runs(journal)
+        ]
         self.broken += find_two_owners(journal)
         ran = {each["operation"] for each in journal}
         outcomes: dict[str, set[Outcome]] = {}
--- a/sedgetide/testing/soak.py
+++ b/sedgetide/testing/soak.py
@@ -22,6 +22,7 @@
 from sedgetide.testing.soakcallers import Caller
 from sedgetide.testing.soakcallers import DEADLY_PATH
 from sedgetide.testing.soakcallers import DeadlyCaller
+from sedgetide.testing.soakchecks import SoakChecks
 from sedgetide.testing.soakevacuations import find_flooded
 from sedgetide.testing.soakevacuations import find_late_runs
 from sedgetide.testing.soakevacuations import Operator
@@ -33,9 +34,8 @@
 from sedgetide.testing.soakfleet import ColdStartLimits
 from sedgetide.testing.soakfleet import Fleet
 from sedgetide.testing.soakleaving import find_late_sends
-from sedgetide.testing.soakpromises import Promises
 from sedgetide.testing.soakpushback import draw_scripts
-from sedgetide.testing.soakpushback import find_ignored
+from sedgetide.testing.soakpushback import find_pushback_violations
 from sedgetide.testing.soakpushback import HostOutage
 
 CALLERS = 14
@@ -74,7 +74,7 @@
         self._operator = Operator(self.fleet)
         self._fault_times: list[tuple[float, float]] = []
         self._outages: list[HostOutage] = []
-        self._promises = Promises(self.fleet, self._recovery_time)
+        self._checks = SoakChecks(self.fleet, self._recovery_time)
         self.injected: list[str] = []
         self._callers = [
             Caller(number, self.fleet, seed) for number in range(CALLERS)
@@ -164,25 +164,31 @@
     @property
     def problems(self) -> list[str]:
         """Violations of the guarantees, one text each."""
-        return self._promises.problems
+        return self._checks.problems
 
     def _check(self, ended: float) -> None:
-        asked = [record for caller in self._callers for record in caller.asked]
+        records = [
+            record for caller in self._callers for record in caller.records
+        ]
         events = self.fleet.read_events()
-        promises = self._promises
-        deadly = [record for caller in self._deadly for record in caller.asked]
-        promises.check_runs([*asked, *deadly], events)
-        promises.check_deadly(events)
+        checks = self._checks
+        deadly = [
+            record for caller in self._deadly for record in caller.records
+        ]
+        checks.check_runs([*records, *deadly], events)
+        checks.check_deadly(events)
         if self._fault_set is not FaultSet.PUSHBACK:
-            promises.check_quarantined(asked)
-        promises.problems += find_ignored(events, asked, self._outages)
-        promises.check_answers(asked)
-        promises.check_owners(events)
-        promises.check_recovery(asked, ended)
-        promises.check_configuration(self._fault_sampler.extra_routes)
-        promises.problems += find_flooded(events)
-        promises.problems += find_late_sends(events, self._fault_times)
-        promises.problems += find_late_runs(
+            checks.check_quarantined(records)
+        checks.problems += find_pushback_violations(
+            events, records, self._outages
+        )
+        checks.check_answers(records)
+        checks.check_owners(events)
+        checks.check_recovery(records, ended)
+        checks.check_configuration(self._fault_sampler.extra_routes)
+        checks.problems += find_flooded(events)
+        checks.problems += find_late_sends(events, self._fault_times)
+        checks.problems += find_late_runs(
             self.fleet, self._operator.evacuations, events, self._fault_times
         )
 
--- a/sedgetide/testing/soakcallers.py
+++ b/sedgetide/testing/soakcallers.py
@@ -64,7 +64,7 @@
         self._random = random.Random(f"{seed}/{number}")
         self._connection: Connection | None = None
         self._host = 0
-        self.asked: list[RequestRecord] = []
+        self.records: list[RequestRecord] = []
 
     def run(self) -> None:
         """Send requests until this greenlet is killed."""
@@ -75,12 +75,12 @@
     def _send_one(self) -> None:
         route = self._random.choice(("map", "map", "alert", "archive"))
         record = RequestRecord(
-            f"r-{self.number}-{len(self.asked)}",
+            f"r-{self.number}-{len(self.records)}",
             route == "alert",
             time.monotonic(),
             self._host,
         )
-        self.asked.append(record)
+        self.records.append(record)
         answer = self._send(self._make_request(record, route))
         if answer is None:
             return
@@ -110,7 +110,7 @@
                 self._disconnect()
             if self._connection is None or not self._connection.usable:
                 self._connect()
-            self.asked[-1].host = self._host
+            self.records[-1].host = self._host
             return self._connection.exchange(request, DEADLINE + 0.5)
         except UpstreamError:
             self._disconnect()
@@ -148,12 +148,12 @@
     def _send_one(self) -> None:
         self._disconnect()
         record = RequestRecord(
-            f"{DEADLY_ID_PREFIX}{self.number}-{len(self.asked)}",
+            f"{DEADLY_ID_PREFIX}{self.number}-{len(self.records)}",
             False,
             time.monotonic(),
             self._host,
         )
-        self.asked.append(record)
+        self.records.append(record)
         headers = [
             ("Host", HOST),
             (_names.REQUEST_ID, record.number),
--- a/sedgetide/testing/soakpromises.py
+++ b/sedgetide/testing/soakchecks.py
@@ -27,7 +27,7 @@
 _MAX_RETRY_AFTER = 10.0
 
 
-class Promises:
+class SoakChecks:
     """Checks the guarantees of a soak and collects the violations.
 
     Parameters
--- a/sedgetide/testing/soakfleet.py
+++ b/sedgetide/testing/soakfleet.py
@@ -316,7 +316,7 @@
         Load that upstreams accept after a start; None for no limit.
     says : mapping
         Lines of a script by the number of an upstream; see
-        :mod:`sedgetide.testing.remarks`.
+        :mod:`sedgetide.testing.pushbackscript`.
     era : int
         First era of the store; answers name no era while it is 0.
     """
--- a/sedgetide/testing/soakpushback.py
+++ b/sedgetide/testing/soakpushback.py
@@ -11,12 +11,12 @@
 
 import msgspec
 
+from sedgetide.testing.pushbackscript import BACKOFF
+from sedgetide.testing.pushbackscript import LEAVING
+from sedgetide.testing.pushbackscript import LIMIT
 from sedgetide.testing.rangeupstream import ARRIVED
 from sedgetide.testing.rangeupstream import Event
 from sedgetide.testing.rangeupstream import SAID
-from sedgetide.testing.remarks import BACKOFF
-from sedgetide.testing.remarks import LEAVING
-from sedgetide.testing.remarks import LIMIT
 from sedgetide.testing.soakcallers import RequestRecord
 
 # Tolerances that the platform specifies. A limit binds from this many seconds
@@ -96,7 +96,7 @@
 HostOutages = Sequence[HostOutage]
 
 
-def find_ignored(
+def find_pushback_violations(
     events: Sequence[Event],
     records: Iterable[RequestRecord],
     outages: HostOutages = (),
--- a/sedgetide/testing/world.py
+++ b/sedgetide/testing/world.py
@@ -187,7 +187,7 @@
         self, assignment: Assignment, revision: Revision
     ) -> None:
         """Apply an assignment from the store or a peer."""
-        self.view.take_assignment(assignment, revision)
+        self.view.apply_assignment(assignment, revision)
 
     def apply_configuration(
         self, configuration: Text, revision: Revision
@@ -325,7 +325,7 @@
             return
         at = peer.clock.read(self.world.now)
         for lease in self.leases.values():
-            if lease.has_news():
+            if lease.needs_report():
                 peer.view.note_report(lease.make_report(), at)
 
     def _write_change(self, change: AssignmentChange) -> None:
--- a/tests/core/membership/test_directory.py
+++ b/tests/core/membership/test_directory.py
@@ -4,7 +4,7 @@
 
 from sedgetide.core.membership.directory import RegisteredUpstream
 from sedgetide.core.membership.directory import UpstreamDirectory
-from sedgetide.core.membership.incarnations import UNKNOWN_BIRTH
+from sedgetide.core.membership.incarnations import UNKNOWN_START_TIME
 
 
 def make_upstream(name, leaving=False):
@@ -136,7 +136,7 @@
         )
 
     def test_entry_without_a_start_time_is_unreadable(self):
-        self.directory.put(make_incarnation(UNKNOWN_BIRTH), 101.0)
+        self.directory.put(make_incarnation(UNKNOWN_START_TIME), 101.0)
         self.assertEqual([], self.directory.list_active("maps"))
 
 
--- a/tests/core/ownership/test_leadership.py
+++ b/tests/core/ownership/test_leadership.py
@@ -123,7 +123,7 @@
         held_until = last_order + durations.long_hold * 1.02
         successor = Leadership(durations)
         successor.begin(Position(0, 8), 100.0, 100.0)
-        self.assertGreater(successor.bound_inherited(), held_until)
+        self.assertGreater(successor.find_inherited_hold_end(), held_until)
 
 
 class TestTerm(testtools.TestCase):
--- a/tests/core/ownership/test_smoothing.py
+++ b/tests/core/ownership/test_smoothing.py
@@ -98,7 +98,7 @@
             )
             for name in self.names
         }
-        estimates = self.tracker.list_views(SERVICE, self.now)
+        estimates = self.tracker.list_estimates(SERVICE, self.now)
         rates = smooth_rates(estimates, self.table.tenures)
         moves = plan_balance(
             self.table, eligible, rates, max_concurrent_moves(len(eligible))
--- a/tests/core/requests/test_health.py
+++ b/tests/core/requests/test_health.py
@@ -2,8 +2,8 @@
 
 import testtools
 
-from sedgetide.core.requests.health import FIRST_GUESS
-from sedgetide.core.requests.health import UNREACHED_WEIGHT
+from sedgetide.core.requests.health import DEFAULT_SERVICE_TIME
+from sedgetide.core.requests.health import UNREACHABLE_WEIGHT
 from sedgetide.core.requests.health import UpstreamHealth
 
 
@@ -24,20 +24,20 @@
         self.assertTrue(self.health.is_suspect(10.2))
 
     def test_connection_that_did_not_open_counts_as_two(self):
-        self.health.note_failure(10.0, UNREACHED_WEIGHT)
+        self.health.note_failure(10.0, UNREACHABLE_WEIGHT)
         self.assertTrue(self.health.is_suspect(10.1))
 
     def test_it_is_tried_again_after_two_seconds(self):
-        self.health.note_failure(10.0, UNREACHED_WEIGHT)
+        self.health.note_failure(10.0, UNREACHABLE_WEIGHT)
         self.assertFalse(self.health.is_suspect(12.1))
 
     def test_success_ends_the_suspicion(self):
-        self.health.note_failure(10.0, UNREACHED_WEIGHT)
+        self.health.note_failure(10.0, UNREACHABLE_WEIGHT)
         self.health.note_success(0.1)
         self.assertFalse(self.health.is_suspect(10.1))
 
     def test_service_time(self):
-        self.assertEqual(FIRST_GUESS, self.health.estimate_seconds())
+        self.assertEqual(DEFAULT_SERVICE_TIME, self.health.estimate_seconds())
         self.health.note_success(0.5)
         self.assertEqual(0.5, self.health.estimate_seconds())
         self.health.note_success(1.0)
--- a/tests/core/requests/test_quarantine.py
+++ b/tests/core/requests/test_quarantine.py
@@ -276,7 +276,7 @@
             lose(known, at, DEADLY)
         data = msgspec.json.encode(known.record(8.0))
         record = msgspec.json.decode(data, type=QuarantineRecord)
-        started.take_record(record, 200.0)
+        started.merge_record(record, 200.0)
         self.assertEqual(300.0, started.find_stay_left(DEADLY, 200.0))
         known.merge(copy(started, 200.0), 200.0)
         self.assertEqual(108.0, known.find_stay_left(DEADLY, 200.0))
@@ -292,7 +292,7 @@
             lose(known, at, DEADLY)
         data = msgspec.json.encode(known.record(4.0))
         record = msgspec.json.decode(data, type=QuarantineRecord)
-        started.take_record(record, 100.0)
+        started.merge_record(record, 100.0)
         self.assertTrue(started.is_strong_suspect(DEADLY))
         lose(started, 101.0, DEADLY, BESIDE, alone=[DEADLY])
         self.assertGreater(started.find_stay_left(DEADLY, 101.0), 0.0)
@@ -302,7 +302,7 @@
         lose(known, 0.0, BESIDE)
         record = known.record(0.1)
         known.note_end(BESIDE, 5.0)
-        started.take_record(record, 8.0)
+        started.merge_record(record, 8.0)
         known.merge(copy(started, 8.0), 8.0)
         self.assertTrue(known.idle)
         started.merge(copy(known, 8.1), 8.1)
@@ -314,13 +314,13 @@
         quarantine = Quarantine()
         for number, left in ((5000, 1e300), (-3, -1e300), (0, 50.0)):
             stay = RecordedStay(f"f{number}", number, left)
-            quarantine.take_record(QuarantineRecord((stay,)), 10.0)
+            quarantine.merge_record(QuarantineRecord((stay,)), 10.0)
             self.assertLessEqual(
                 quarantine.find_stay_left(f"f{number}", 10.0), 3600.0
             )
         for age in (-1e300, 0.0, 1e300):
             loss = RecordedLoss(f"u{age}", age, frozenset("f"))
-            quarantine.take_record(QuarantineRecord((), (loss,)), 10.0)
+            quarantine.merge_record(QuarantineRecord((), (loss,)), 10.0)
         self.assertEqual(0.0, quarantine.find_stay_left("f", 10.0))
         quarantine.expire(20.0)
 
--- a/tests/daemons/test_path.py
+++ b/tests/daemons/test_path.py
@@ -10,7 +10,7 @@
 from sedgetide.coding.addresses import split_address
 from sedgetide.testing.fleet import call
 from sedgetide.testing.fleet import Fleet
-from sedgetide.testing.fleet import PATIENT_OPTIONS
+from sedgetide.testing.fleet import LONG_TIMEOUT_OPTIONS
 
 EXAMPLES = pathlib.Path(__file__).parents[2] / "examples"
 
@@ -24,7 +24,9 @@
     def setUpClass(cls):
         super().setUpClass()
         cls.fleet = Fleet(
-            read_example("lombardia"), upstreams=1, options=PATIENT_OPTIONS
+            read_example("lombardia"),
+            upstreams=1,
+            options=LONG_TIMEOUT_OPTIONS,
         )
         cls.addClassCleanup(cls.fleet.close)
         cls.fleet.start(keepers=1)
--- a/tests/daemons/test_places.py
+++ b/tests/daemons/test_places.py
@@ -44,7 +44,9 @@
         def send(destination, message):
             self.sent.append(message)
             if not self.lost:
-                gevent.spawn(self.hosts[destination].take, message, link)
+                gevent.spawn(
+                    self.hosts[destination].handle_message, message, link
+                )
 
         return Places(link, deployment, send, random.Random(1))
 
--- a/tests/daemons/test_pushback.py
+++ b/tests/daemons/test_pushback.py
@@ -11,16 +11,16 @@
 import testtools
 
 from sedgetide.testing.proxies import Mode
+from sedgetide.testing.pushbackscript import BACKOFF
+from sedgetide.testing.pushbackscript import LEAVING
+from sedgetide.testing.pushbackscript import LIMIT
 from sedgetide.testing.rangeupstream import ARRIVED
 from sedgetide.testing.rangeupstream import SAID
-from sedgetide.testing.remarks import BACKOFF
-from sedgetide.testing.remarks import LEAVING
-from sedgetide.testing.remarks import LIMIT
 from sedgetide.testing.soakcallers import Caller
 from sedgetide.testing.soakcallers import DEADLINE
 from sedgetide.testing.soakfleet import call
 from sedgetide.testing.soakfleet import Fleet
-from sedgetide.testing.soakpushback import find_ignored
+from sedgetide.testing.soakpushback import find_pushback_violations
 
 CALLERS = 14
 # Numbers of two upstreams: of a service with keys, and of one without.
@@ -74,9 +74,11 @@
         tasks = [gevent.spawn(each.run) for each in callers]
         gevent.sleep(seconds)
         gevent.killall(tasks)
-        self.asked = [ask for each in callers for ask in each.asked]
+        self.records = [ask for each in callers for ask in each.records]
         self.events = self.fleet.read_events()
-        self.assertEqual([], find_ignored(self.events, self.asked))
+        self.assertEqual(
+            [], find_pushback_violations(self.events, self.records)
+        )
 
     def find_reason(self, number):
         """Return the status and the note that a request was logged with."""
@@ -113,7 +115,9 @@
         self.start({KEYED: [f"limit:{LIMITS[KEYED]}"]})
         self.run_callers(LIMITED_FOR)
         first = min(each.at for each in self.events if LIMIT in each.said)
-        late = [ask for ask in self.asked if ask.at > first + BALANCED_WITHIN]
+        late = [
+            ask for ask in self.records if ask.at > first + BALANCED_WITHIN
+        ]
         served = sum(1 for ask in late if ask.status == 200)
         state = call(self.fleet.hosts[0].admin_port, "GET", "/state")
         asked = msgspec.json.decode(state.body)["knowledge"]["asked"]
@@ -145,7 +149,7 @@
             max(each.at for each in self.events if LEAVING in each.said)
             + MOVED_WITHIN
         )
-        late = [ask for ask in self.asked if ask.at > moved]
+        late = [ask for ask in self.records if ask.at > moved]
         ended = late[-1].at - DEADLINE
         late = [ask for ask in late if ask.at < ended]
         refused = [ask.number for ask in late if ask.status != 200]
@@ -163,5 +167,7 @@
         self.run_callers(BACKOFF_FOR)
         pushback = [each for each in self.events if BACKOFF in each.said]
         self.assertEqual(2, len({each.upstream for each in pushback}))
-        held = [ask.retry_after for ask in self.asked if ask.retry_after > 1.0]
+        held = [
+            ask.retry_after for ask in self.records if ask.retry_after > 1.0
+        ]
         self.assertGreater(max(held, default=0.0), 2.0)
--- a/tests/daemons/test_quarantine.py
+++ b/tests/daemons/test_quarantine.py
@@ -68,7 +68,9 @@
                 self.leader_bytes += len(data)
             host = next(each for each in self.hosts if each.link == link)
             for message in envelope.messages:
-                host.shared.take(message, LinkAddress(envelope.sender), now)
+                host.shared.handle_message(
+                    message, LinkAddress(envelope.sender), now
+                )
 
     def report(self, now):
         """Send one report of each host to its leader."""
--- a/tests/daemons/test_restored_store.py
+++ b/tests/daemons/test_restored_store.py
@@ -10,10 +10,10 @@
 
 from sedgetide.testing.soakcallers import Caller
 from sedgetide.testing.soakcallers import DEADLINE
+from sedgetide.testing.soakchecks import SoakChecks
 from sedgetide.testing.soakfleet import Fleet
 from sedgetide.testing.soakleaving import DRAINED_WITHIN
 from sedgetide.testing.soakleaving import find_late_sends
-from sedgetide.testing.soakpromises import Promises
 
 CALLERS = 8
 KEYED, PLAIN = 1, 5
@@ -63,9 +63,9 @@
         gevent.sleep(OUTAGE)
         self.fleet.configure(3, ("fresh",))
         gevent.sleep(APPLIED_WITHIN)
-        promises = Promises(self.fleet, 0.0)
-        promises.check_configuration(["fresh"])
-        self.assertEqual([], promises.problems)
+        checks = SoakChecks(self.fleet, 0.0)
+        checks.check_configuration(["fresh"])
+        self.assertEqual([], checks.problems)
 
     def test_version_after_the_restore(self):
         # Guards against ignoring a version because of its low revision.
@@ -109,10 +109,10 @@
         self.start(6)
         self.fleet.restore_store(BACKUP_AGE, OUTAGE)
         gevent.sleep(RECOVERED_WITHIN)
-        asked = [ask for each in self.callers for ask in each.asked]
-        late = [ask for ask in asked if ask.at < asked[-1].at - DEADLINE]
+        records = [ask for each in self.callers for ask in each.records]
+        late = [ask for ask in records if ask.at < records[-1].at - DEADLINE]
         served = sum(ask.status == 200 for ask in late)
         self.assertGreater(served, 0.9 * len(late))
-        promises = Promises(self.fleet, 0.0)
-        promises.check_owners(self.fleet.read_events())
-        self.assertEqual([], promises.problems)
+        checks = SoakChecks(self.fleet, 0.0)
+        checks.check_owners(self.fleet.read_events())
+        self.assertEqual([], checks.problems)
--- a/tests/daemons/test_stop.py
+++ b/tests/daemons/test_stop.py
@@ -9,9 +9,9 @@
 
 from sedgetide.testing.callers import Load
 from sedgetide.testing.fleet import Fleet
-from sedgetide.testing.fleet import PATIENT_OPTIONS
+from sedgetide.testing.fleet import LONG_TIMEOUT_OPTIONS
 from sedgetide.testing.fleet import wait_for
-from sedgetide.testing.journals import find_doubled
+from sedgetide.testing.journals import find_repeated_runs
 from sedgetide.testing.journals import find_two_owners
 
 EXAMPLES = pathlib.Path(__file__).parents[2] / "examples"
@@ -27,7 +27,7 @@
     def setUp(self):
         super().setUp()
         text = json.loads((EXAMPLES / "lombardia.json").read_text())
-        self.fleet = Fleet(text, upstreams=1, options=PATIENT_OPTIONS)
+        self.fleet = Fleet(text, upstreams=1, options=LONG_TIMEOUT_OPTIONS)
         self.addCleanup(self.fleet.close)
         self.fleet.start(keepers=2, entries=2)
         addresses = [
@@ -45,7 +45,7 @@
         self.assertEqual({("answered", "")}, set(outcomes), outcomes)
         self.assertTrue(all(each.whole for each in told))
         journal = self.fleet.read_journals()
-        self.assertEqual([], find_doubled(journal))
+        self.assertEqual([], find_repeated_runs(journal))
         self.assertEqual([], find_two_owners(journal))
 
     def test_stop_of_a_keeper_cuts_no_request(self):
--- a/tests/daemons/test_trials.py
+++ b/tests/daemons/test_trials.py
@@ -76,7 +76,7 @@
         if self.lost & {sender, link}:
             return
         host = next(each for each in self.hosts if each.link == link)
-        gevent.spawn(host.trials.take, message, sender)
+        gevent.spawn(host.trials.handle_message, message, sender)
 
 
 class TestTrials(testtools.TestCase):
--- a/tests/daemons/test_upstreamselector.py
+++ b/tests/daemons/test_upstreamselector.py
@@ -137,7 +137,7 @@
     def setUp(self):
         super().setUp()
         self.deployment = DeploymentState(
-            PlatformRegistry(), cold_terms=ColdTolerance(1.5, 8.0)
+            PlatformRegistry(), cold_tolerance=ColdTolerance(1.5, 8.0)
         )
         self.rule = ServiceRule(SERVICE, cold=3.0, cold_rate=4.2)
         self.deployment.policy = Policy(Version(1), (), {SERVICE: self.rule})
--- a/tests/testing/test_ownershipworld.py
+++ b/tests/testing/test_ownershipworld.py
@@ -73,7 +73,7 @@
 
     def test_earlier_leaders_not_counted(self):
         bound = mock.Mock(return_value=float("-inf"))
-        self.check_found(Leadership, "bound_inherited", bound)
+        self.check_found(Leadership, "find_inherited_hold_end", bound)
 
     def test_no_look_at_the_clock_before_an_order(self):
         def assume_leading(leadership, now):
--- a/tests/testing/test_soakpushback.py
+++ b/tests/testing/test_soakpushback.py
@@ -4,13 +4,13 @@
 
 import testtools
 
+from sedgetide.testing.pushbackscript import Script
 from sedgetide.testing.rangeupstream import ARRIVED
 from sedgetide.testing.rangeupstream import Event
 from sedgetide.testing.rangeupstream import SAID
-from sedgetide.testing.remarks import Script
 from sedgetide.testing.soakcallers import RequestRecord
 from sedgetide.testing.soakpushback import draw_scripts
-from sedgetide.testing.soakpushback import find_ignored
+from sedgetide.testing.soakpushback import find_pushback_violations
 from sedgetide.testing.soakpushback import HostOutage
 
 UPSTREAM = "i-0-1@1"
@@ -37,7 +37,9 @@
             self.events.append(event)
 
     def find(self, *outages):
-        return len(find_ignored(self.events, self.records, outages))
+        return len(
+            find_pushback_violations(self.events, self.records, outages)
+        )
 
     def ask_often(self, count, said, host=0):
         for step in range(count):
