--- a/sedgetide/testing/logcost.py
+++ b/sedgetide/testing/logcost.py
@@ -24,8 +24,8 @@
 _SETTLING_TIME = 3.0
 _ROUNDS = 10
 _KEYS = 65536
-# The third host has more processor time and therefore becomes the leader, so
-# that the two hosts that are compared have no other work.
+# The third host has a larger processor share and therefore becomes the leader,
+# so that the two hosts that are compared have no other work.
 _OPTIONS = (
     {"log_level": "INFO", "processor_share": 0.1},
     {"log_level": "ERROR", "processor_share": 0.1},
--- a/sedgetide/testing/ownershipworld.py
+++ b/sedgetide/testing/ownershipworld.py
@@ -129,7 +129,7 @@
         Number of hosts and of upstreams.
     durations : Durations
         Timing parameters that single ownership depends on.
-    returns : bool
+    with_restores : bool
         Whether the store is also restored from older copies.
     """
 
@@ -284,7 +284,11 @@
             self._lead(host)
 
     def _read_tables(self, host: WorldHost) -> None:
-        """Read all tables in the store, also those of earlier eras."""
+        """Read all tables in the store.
+
+        A table of an earlier era does not prove ownership; it is only what
+        recovery starts from.
+        """
         host.note_era(self.store.era)
         for item in self.store.list("").items:
             name = parse_key(item.key)
--- a/sedgetide/testing/rangeupstream.py
+++ b/sedgetide/testing/rangeupstream.py
@@ -297,11 +297,11 @@
             gevent.sleep(_HEARTBEAT)
 
     def leave(self, how: Leaving) -> None:
-        """Announce in each heartbeat to leave, and continue to serve."""
+        """Announce the departure in each heartbeat, and continue to serve."""
         self._leaving = how
 
     def _register(self, entry: dict[str, Any] | None) -> bool:
-        """Write or remove the entry; return whether the registry did it."""
+        """Write or remove the entry; return whether this was acknowledged."""
         request = self._make_heartbeat(entry)
         with contextlib.suppress(Exception):
             connection = self._registry.take(1.0)
--- a/sedgetide/testing/soakcallers.py
+++ b/sedgetide/testing/soakcallers.py
@@ -129,7 +129,9 @@
 
 
 class DeadlyCaller(Caller):
-    """Repeats a safe request that crashes each upstream, at random hosts.
+    """Repeats a safe request that crashes every upstream that runs it.
+
+    Requests are sent to random hosts.
 
     Parameters
     ----------
--- a/sedgetide/testing/soakfleet.py
+++ b/sedgetide/testing/soakfleet.py
@@ -231,7 +231,7 @@
         return self.programs[-1]
 
     def note_crash(self) -> bool:
-        """Return whether the crash of the last start is seen first now."""
+        """Return whether the last start's crash was not noted before."""
         is_new = self._crashed_starts < self._starts
         self._crashed_starts = self._starts
         return is_new
--- a/sedgetide/testing/soakleaving.py
+++ b/sedgetide/testing/soakleaving.py
@@ -1,4 +1,4 @@
-"""Check of upstreams of a soak that announce in the registry to leave."""
+"""Check that leaving upstreams of a soak receive no further requests."""
 
 from sedgetide.testing.rangeupstream import Event
 from sedgetide.testing.rangeupstream import LEFT
--- a/sedgetide/testing/soakpushback.py
+++ b/sedgetide/testing/soakpushback.py
@@ -243,7 +243,7 @@
             known_since.setdefault(host, event.at)
         elif event.kind == ARRIVED:
             informed_at = known_since.get(host, float("inf"))
-            late = event.at >= informed_at + _KNOWN_AFTER
-            if late and not _is_in_outage(host, event.at, outages):
+            informed = event.at >= informed_at + _KNOWN_AFTER
+            if informed and not _is_in_outage(host, event.at, outages):
                 counted.append(event.at)
     return counted
--- a/sedgetide/testing/upstream.py
+++ b/sedgetide/testing/upstream.py
@@ -197,7 +197,7 @@
     def _find_refusal(self, environ: dict[str, Any]) -> str:
         stamp = _find_header(environ, protocol.HEADER_STAMP) or "0"
         life = _find_header(environ, protocol.HEADER_LIFE) or "1e12"
-        return self._model.judge(
+        return self._model.find_refusal(
             _parse_shard(_find_header(environ, protocol.HEADER_SHARD)),
             int(_find_header(environ, protocol.HEADER_EPOCH) or 0),
             _find_header(environ, protocol.HEADER_ORDERER),
--- a/sedgetide/testing/upstreammodel.py
+++ b/sedgetide/testing/upstreammodel.py
@@ -51,8 +51,8 @@
     checks_orders : bool
         Whether stale orders and requests are refused.
     slots : int
-        Requests served at a time; further ones are shed when more than twice
-        as many run.
+        Requests served at a time. Others wait, and a request is shed when
+        more than twice as many are already running or waiting.
     """
 
     def __init__(
@@ -147,7 +147,7 @@
             if now < grant.until
         }
 
-    def judge(
+    def find_refusal(
         self,
         key: ShardKey | None,
         epoch: int,
--- a/sedgetide/testing/worldrequests.py
+++ b/sedgetide/testing/worldrequests.py
@@ -268,7 +268,7 @@
         if upstream.model is not attempt.model:
             return "gone"
         clock = upstream.clock.read(now)
-        declined = upstream.model.judge(
+        declined = upstream.model.find_refusal(
             attempt.key, epoch, orderer, expires, clock
         )
         if not declined:
--- a/tests/testing/test_ownershipworld.py
+++ b/tests/testing/test_ownershipworld.py
@@ -35,7 +35,7 @@
     return None, moves
 
 
-class TestWalk(testtools.TestCase):
+class TestSimulation(testtools.TestCase):
     """No two upstreams hold the same key at the same time."""
 
     def test_single_ownership(self):
--- a/tests/testing/test_soak.py
+++ b/tests/testing/test_soak.py
@@ -8,8 +8,8 @@
 from sedgetide.testing.soak import run_soak
 from sedgetide.testing.soakfleet import Program
 
-# Every seed that once found a violation, with its cause. The first one also
-# runs here.
+# Every seed that once found a violation, with its cause. The first one
+# runs here; ``make soak`` runs seeds 1 to 50.
 REGRESSIONS = {
     30: "an unanswered grant ended the round of renewals, so that the grants "
     "of later ranges expired: 171 of 539 requests were refused after the "
@@ -28,8 +28,8 @@
 }
 EVACUATED_AND_COLD = 5001
 COPIES_AND_ALL_HOSTS_LOST = 6004
-ASKING_AND_RESTARTED = 7001
-RETURNS_IN_SERIES = 8019
+PUSHBACK_AND_RESTARTS = 7001
+RESTORES_IN_SERIES = 8019
 
 
 class TestProgram(testtools.TestCase):
@@ -74,9 +74,9 @@
     def test_upstreams_that_ask_something_of_their_senders(self):
         # Guards against limits, leaving notices and backoffs that are lost
         # in faults: a host and an upstream are killed meanwhile.
-        self.check_seed(ASKING_AND_RESTARTED)
+        self.check_seed(PUSHBACK_AND_RESTARTS)
 
     def test_store_that_comes_back_from_copies_in_series(self):
         # Guards against live upstreams that are treated as leaving after a
         # restore.
-        self.check_seed(RETURNS_IN_SERIES)
+        self.check_seed(RESTORES_IN_SERIES)
--- a/tests/testing/test_soakpushback.py
+++ b/tests/testing/test_soakpushback.py
@@ -16,7 +16,7 @@
 UPSTREAM = "i-0-1@1"
 
 
-class TestFindIgnored(testtools.TestCase):
+class TestFindPushbackViolations(testtools.TestCase):
     """The checks report violations, and only violations."""
 
     def setUp(self):
