--- a/sedgetide/testing/faultreport.py
+++ b/sedgetide/testing/faultreport.py
@@ -287,7 +287,7 @@
         "violation. Mismatched and truncated answers are tested with real "
         "sockets in `tests/backends/test_connection.py`.",
         "",
-        "| safeguard taken away | promise | cell | found |",
+        "| disabled safeguard | guarantee | cell | found |",
         "| --- | --- | --- | --- |",
     ]
     for each in report.mutations:
--- a/sedgetide/testing/matrix.py
+++ b/sedgetide/testing/matrix.py
@@ -69,12 +69,12 @@
     scenario.load = False
     scenario.run(_SETTLE_TIME)
     scenario.check_at_end()
-    served = not scenario.dark
+    served = not scenario.unserved_since
     return Cell(
         faults,
         step,
         tuple(scenario.broken),
-        scenario.longest_dark,
+        scenario.longest_unserved,
         scenario.refused,
         served,
     )
--- a/sedgetide/testing/ports.py
+++ b/sedgetide/testing/ports.py
@@ -22,7 +22,7 @@
         self._waiting: list[int] = []
 
     def take(self) -> int:
-        """Return a port that no other process can get."""
+        """Return a free port of a slice that this process owns."""
         while True:
             if not self._waiting:
                 self._waiting = self._claim()
--- a/sedgetide/testing/processfaults.py
+++ b/sedgetide/testing/processfaults.py
@@ -201,7 +201,7 @@
 
 
 def _silence_connections(loaded: LoadedFleet) -> None:
-    """Leave all open connections of an upstream without further answers."""
+    """Silence an upstream's open connections without closing them."""
     loaded.fleet.set_upstream_fault("u-01", silence=True)
     gevent.sleep(_FAULT_TIME)
 
--- a/sedgetide/testing/scenarios.py
+++ b/sedgetide/testing/scenarios.py
@@ -81,8 +81,8 @@
         )
         self.callers = Callers(self.world)
         self.broken: list[str] = []
-        self.dark: dict[ShardKey, float] = {}
-        self.longest_dark = 0.0
+        self.unserved_since: dict[ShardKey, float] = {}
+        self.longest_unserved = 0.0
         self.refused = 0
         self.fault_free_since = 0.0
         self.load = True
@@ -122,7 +122,7 @@
         self._check_assignment()
         self._check_configuration()
         self._check_drained()
-        self._measure_dark()
+        self._measure_unserved()
 
     def run(self, seconds: float) -> None:
         """Advance the simulation by some seconds."""
@@ -296,14 +296,16 @@
                     f"{name} got new requests while draining"
                 )
 
-    def _measure_dark(self) -> None:
+    def _measure_unserved(self) -> None:
         """Measure how long each shard is not served in its data centre."""
         for key in self.world.list_keys():
             if self._is_served(key):
-                self.dark.pop(key, None)
+                self.unserved_since.pop(key, None)
                 continue
-            since = self.dark.setdefault(key, self.world.now)
-            self.longest_dark = max(self.longest_dark, self.world.now - since)
+            since = self.unserved_since.setdefault(key, self.world.now)
+            self.longest_unserved = max(
+                self.longest_unserved, self.world.now - since
+            )
 
     def _is_served(self, key: ShardKey) -> bool:
         for keeper in self.world.keepers.values():
--- a/sedgetide/testing/soakfaults.py
+++ b/sedgetide/testing/soakfaults.py
@@ -66,7 +66,7 @@
 
 
 def _reset_repeatedly(proxy: Proxy) -> None:
-    """Reset open connections repeatedly, so that requests are in flight."""
+    """Reset open connections repeatedly, to hit requests in flight."""
     for _ in range(_RESETS):
         proxy.reset_all()
         gevent.sleep(_RESET_PAUSE)
--- a/sedgetide/testing/steps.py
+++ b/sedgetide/testing/steps.py
@@ -19,8 +19,8 @@
         )
     )
     scenario.run(1.0)
-    scenario.longest_dark = 0.0
-    scenario.dark.clear()
+    scenario.longest_unserved = 0.0
+    scenario.unserved_since.clear()
 
 
 def _reach_phase(scenario: Scenario, phase: Phase) -> None:
--- a/sedgetide/testing/world.py
+++ b/sedgetide/testing/world.py
@@ -77,7 +77,10 @@
 
 
 class FakeUpstream:
-    """An upstream that handles calls buffered during a pause afterwards."""
+    """An upstream whose socket buffer outlasts a pause.
+
+    Calls that arrive during the pause are handled when it resumes.
+    """
 
     def __init__(self, name: str, checks: bool, clock: Clock) -> None:
         self.name = UpstreamName(name)
--- a/tests/testing/test_matrix.py
+++ b/tests/testing/test_matrix.py
@@ -84,7 +84,7 @@
         self.scenario.drain(name)
 
     @invariant()
-    def promises_hold(self):
+    def guarantees_hold(self):
         assert self.scenario.broken == []
 
     def teardown(self):
