--- a/sedgetide/core/requests/operations.py
+++ b/sedgetide/core/requests/operations.py
@@ -120,7 +120,7 @@
         """Record that another keeper has issued orders for these shards."""
         self._tenures.clear()
 
-    def judge(
+    def admit(
         self,
         operation: OperationId,
         shard: Hashable,
--- a/sedgetide/daemons/_upstreamtask.py
+++ b/sedgetide/daemons/_upstreamtask.py
@@ -262,7 +262,7 @@
         request = job.request
         if request.operation is None or request.idempotent:
             return self._send(job)
-        verdict = self._operations.judge(
+        verdict = self._operations.admit(
             request.operation,
             request.shard,
             time.time(),
--- a/sedgetide/testing/worldrequests.py
+++ b/sedgetide/testing/worldrequests.py
@@ -237,7 +237,7 @@
 
     def _admit_operation(self, attempt: Attempt, keeper: FakeKeeper) -> bool:
         log = keeper.logs[attempt.upstream]
-        verdict = log.judge(
+        verdict = log.admit(
             attempt.operation,
             attempt.key,
             self.world.wall_clock,
