--- a/tests/core/membership/test_directory.py
+++ b/tests/core/membership/test_directory.py
@@ -186,7 +186,7 @@
         return serving or self.directory.find_active(name) is not None
 
     def test_entry_that_shows_it_ready_does_not_revoke_the_announcement(self):
-        # Requests must not be sent until the registry learns of it.
+        # Guards against sends that go on until the registry knows.
         self.directory.put(self.first, 101.0)
         self.directory.replace([self.first], 102.0)
         self.assertFalse(self.is_used(self.first))
