--- a/sedgetide/daemons/_control.py
+++ b/sedgetide/daemons/_control.py
@@ -266,7 +266,7 @@
         )
         if configuration is None:
             _log.error(
-                "invalid configuration ignored",
+                "text refused",
                 extra={
                     "revision": record.revision,
                     "problem": str(problems[0]),
--- a/sedgetide/daemons/_dispatcher.py
+++ b/sedgetide/daemons/_dispatcher.py
@@ -201,7 +201,7 @@
             configuration, problems = check_text(content)
             if configuration is None:
                 _log.error(
-                    "invalid configuration ignored",
+                    "text refused",
                     extra={"problem": problems[0]},
                 )
                 return
--- a/sedgetide/daemons/_storetask.py
+++ b/sedgetide/daemons/_storetask.py
@@ -141,7 +141,7 @@
 
     def _note_error(self, error: StoreError) -> None:
         if not self.last_error:
-            _log.warning("store unavailable", extra={"error": str(error)})
+            _log.warning("store away", extra={"error": str(error)})
         self.last_error = str(error)
         self._listener.set_store_unavailable(True)
 
@@ -178,9 +178,9 @@
         revision = store.swap(key, value, expected)
         return Record(key, revision, value)
     except StoreConflict as error:
-        _log.info("compare-and-swap conflict", extra={"error": str(error)})
+        _log.info("swap lost", extra={"error": str(error)})
     except StoreError as error:
-        _log.warning("compare-and-swap failed", extra={"error": str(error)})
+        _log.warning("swap unanswered", extra={"error": str(error)})
         if error.code is ErrorCode.STORE_UNAVAILABLE:
             return None
     with contextlib.suppress(StoreError):
@@ -194,7 +194,7 @@
         return None
     found = decode_assignment(record.value)
     _log.info(
-        "assignment read back",
+        "swap read back",
         extra={
             "revision": record.revision,
             "own": found.change_id == assignment.change_id,
--- a/sedgetide/daemons/_upstreamtask.py
+++ b/sedgetide/daemons/_upstreamtask.py
@@ -458,7 +458,7 @@
         if self.lease.note_answer(call, answer):
             self._operations.end_tenures()
             _log.info(
-                "upstream restarted or taken over from another keeper",
+                "orders taken over",
                 extra={"upstream": self.name, "from": status.orderer},
             )
         if call.kind is ControlCallKind.GRANT:
@@ -490,7 +490,7 @@
         if health is before:
             return
         _log.info(
-            "upstream health changed",
+            "upstream health",
             extra={"peer": self.name, "state": health.value},
         )
         if health is Health.LOST:
